--- a/src/carobhook/protocol/__init__.py
+++ b/src/carobhook/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Protocol layer: messages, codecs, the operators' grammar and HTTP shapes."""
+"""Messages between instances, their codecs, the operators' language and HTTP/1.1."""
--- a/src/carobhook/protocol/feed_messages.py
+++ b/src/carobhook/protocol/feed_messages.py
@@ -1,21 +1,30 @@
-"""Messages by which one instance of a region follows the store for the others."""
+"""Messages of the feed, in which an instance forwards store objects to other instances.
+
+Normally one instance of a region watches the store, and the region's other instances subscribe
+to it. Revisions are those of the store; an instance tracks separately which revision it has
+reached for each kind of object.
+"""
 
 import attrs
 
 
 @attrs.frozen
 class FeedWanted:
-    """Asks an instance that follows the store for everything, and for what changes then."""
+    """Subscribes to the feed of an instance that watches the store.
+
+    The receiver answers with a `FeedSnapshot` of each kind and then sends changes. It ignores
+    the message if it does not watch the store, or has not read all kinds yet.
+    """
 
 
 @attrs.frozen
 class FedObject:
-    """An object of the store.
+    """Object of the store, as the feed carries it.
 
     Attributes:
-        name: Its name.
-        version: Revision of its last change.
-        value: JSON text of its value, None if it was removed.
+        name: Name of the object.
+        version: Revision of the object's last change.
+        value: Value as JSON text in UTF-8, None if the object was removed.
     """
 
     name: str
@@ -25,7 +34,13 @@
 
 @attrs.frozen
 class FeedSnapshot:
-    """All objects of a kind, in place of what was known before."""
+    """All objects of a kind, which replace those that the receiver holds.
+
+    Attributes:
+        kind: Kind of the objects.
+        revision: Revision of the store at which the snapshot was taken.
+        items: All objects of the kind.
+    """
 
     kind: str
     revision: int
@@ -34,7 +49,15 @@
 
 @attrs.frozen
 class FeedEvents:
-    """Changes of a kind's objects after a revision."""
+    """Changes to objects of one kind.
+
+    Attributes:
+        kind: Kind of the objects.
+        since: Revision that the changes follow; a receiver that has not reached it must
+            ignore the message, as it lacks earlier changes.
+        revision: Revision that the receiver reaches by the changes.
+        items: Changed and removed objects.
+    """
 
     kind: str
     since: int
@@ -44,14 +67,18 @@
 
 @attrs.frozen
 class FeedFresh:
-    """Says that the store answers the sender, which has told all up to these revisions."""
+    """Confirms that the store answers the sender, and which revisions the sender has forwarded.
+
+    Attributes:
+        revisions: Pairs of a kind and the revision up to which all its changes were sent.
+    """
 
     revisions: tuple[tuple[str, int], ...]
 
 
-def revisions_of(known: dict[str, int]) -> tuple[tuple[str, int], ...]:
-    """Return revisions by kind as a message holds them."""
-    return tuple(sorted(known.items()))
+def revisions_of(by_kind: dict[str, int]) -> tuple[tuple[str, int], ...]:
+    """Return revisions by kind as the sorted pairs of a message."""
+    return tuple(sorted(by_kind.items()))
 
 
 Message = FeedWanted | FeedSnapshot | FeedEvents | FeedFresh
--- a/src/carobhook/protocol/greetings.py
+++ b/src/carobhook/protocol/greetings.py
@@ -1,4 +1,4 @@
-"""First messages of a stream between instances, and those that show that it lives."""
+"""Messages that authenticate streams between instances and report which instances are live."""
 
 import attrs
 
@@ -7,19 +7,23 @@
 
 @attrs.frozen
 class Challenge:
-    """First frame from the accepting side: the nonce that the hello must prove."""
+    """First message of the accepting side, which asks the connecting side to authenticate.
+
+    Attributes:
+        nonce: Random bytes that the proof in `Hello` must cover.
+    """
 
     nonce: bytes
 
 
 @attrs.frozen
 class Hello:
-    """First frame from the connecting side.
+    """First message of the connecting side, which authenticates it.
 
     Attributes:
         name: Name of the sender.
-        incarnation: Incarnation of the sender.
-        proof: HMAC-SHA256 of nonce, name and incarnation under the shared key.
+        incarnation: Id of the current run of the sender's daemon.
+        proof: HMAC-SHA256 of the nonce, name and incarnation under the shared key.
     """
 
     name: ids.InstanceId
@@ -29,26 +33,31 @@
 
 @attrs.frozen
 class Heartbeat:
-    """The sender's own state."""
+    """Announces the current state of the sender.
+
+    Attributes:
+        member: State of the sender.
+    """
 
     member: members.Member
 
 
 @attrs.frozen
 class StreamUnneeded:
-    """Says that the sender closes this stream, and lives on."""
+    """Announces that the sender closes a stream it no longer needs, and is still live."""
 
 
 @attrs.frozen
 class RosterTold:
-    """What a relay knows of other instances, as changes to what it told before.
+    """Updates the receiver's roster, which is the set of live instances that the sender knows.
 
-    All that it told of and did not take back are live.
+    A relay sends only changes since its previous update. An instance that an update listed
+    counts as live until a later update of the same sender lists it as lost.
 
     Attributes:
-        members: Instances that are new to the receiver, or have changed.
-        lost: Names of those that have gone.
-        is_whole: Whether nothing that was told before counts any more.
+        members: Instances that were added or whose state changed.
+        lost: Names of the instances that are no longer live.
+        is_whole: Whether `members` is the complete roster and replaces all earlier updates.
     """
 
     members: tuple[members.Member, ...]
@@ -58,4 +67,4 @@
 
 @attrs.frozen
 class Alive:
-    """Answers each heartbeat on its own connection, so that a silent stream shows."""
+    """Acknowledges a heartbeat on its connection, so that its sender detects a dead stream."""
--- a/src/carobhook/protocol/http1.py
+++ b/src/carobhook/protocol/http1.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 as entry instances speak it: strict request heads, and answers from servers.
+"""HTTP/1.1 messages: strict validation of request heads, header access and serialization.
 
-Parsing is the library h11's. A request head is checked here first, because h11 accepts some
-spellings that two parsers may read differently.
+The library h11 parses the messages. Request heads are validated here before that, because h11
+accepts some ambiguous heads, which two parsers may read differently (request smuggling).
 """
 
 import re
@@ -13,8 +13,9 @@
 _HEAD_END = b"\r\n\r\n"
 _REQUEST_LINE = re.compile(rb"[!-~]+ [!-~]+ HTTP/1\.[01]")
 _HEADER_LINE = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+:[\t -~\x80-\xff]*")
-# h11 counts a head and what has arrived behind it; heads are bounded before it sees them.
-_H11_BUFFER_OCTETS = 1024 * 1024
+# h11 applies this limit to a head and the data received behind it together, so it must be far
+# larger than a head. The size of request heads is limited before h11 sees them.
+_H11_BUFFER_BYTES = 1024 * 1024
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
@@ -35,10 +36,10 @@
 
 
 class HeadError(Exception):
-    """A request head cannot be accepted.
+    """A request head is malformed, ambiguous or otherwise rejected.
 
     Attributes:
-        status: HTTP status that says why.
+        status: HTTP status of the error response.
     """
 
     def __init__(self, status: int, text: str) -> None:
@@ -48,17 +49,23 @@
 
 @attrs.frozen
 class RequestHead:
-    """Request line and headers of a client's request."""
+    """Request line and headers of a client's request.
+
+    Attributes:
+        method: Method, such as ``GET``.
+        target: Request target: path and query.
+        headers: Headers in the order and spelling in which they were received.
+    """
 
     method: bytes
     target: bytes
     headers: Headers
 
     def get(self, name: str) -> str | None:
-        """Return a header's only or first value, or None.
+        """Return the first value of a header, None without the header.
 
         Args:
-            name: Name in lower case.
+            name: Name of the header in lower case.
         """
         wanted = name.encode()
         for key, value in self.headers:
@@ -69,13 +76,13 @@
 
 @attrs.frozen
 class Answer:
-    """A whole answer.
+    """Complete HTTP response.
 
     Attributes:
-        status: HTTP status.
+        status: HTTP status code.
         reason: Reason phrase.
-        headers: Headers as they were sent, without those that concern one connection.
-        body: Body.
+        headers: Headers in their original spelling, without hop-by-hop headers.
+        body: Body without chunk framing.
     """
 
     status: int
@@ -84,7 +91,11 @@
     body: bytes
 
     def get(self, name: str) -> str | None:
-        """Return a header's first value, or None; the name is in lower case."""
+        """Return the first value of a header, None without the header.
+
+        Args:
+            name: Name of the header in lower case.
+        """
         wanted = name.encode()
         for key, value in self.headers:
             if key.lower() == wanted:
@@ -93,16 +104,16 @@
 
 
 def head_length(data: bytes | bytearray) -> int:
-    """Return how many octets the head at the start of data has, or 0 if it is not whole."""
+    """Return the length in bytes of the head at the start of data, 0 if it is incomplete."""
     end = data.find(_HEAD_END)
     return end + len(_HEAD_END) if end >= 0 else 0
 
 
 def check_head(head: bytes) -> None:
-    """Refuse request heads that two parsers may read differently.
+    """Check that a request head is well-formed and cannot be read in two ways.
 
     Args:
-        head: A whole head, with the empty line at its end.
+        head: Complete head, including the empty line at its end.
 
     Raises:
         HeadError: The head is malformed or ambiguous.
@@ -135,75 +146,86 @@
 
 
 def declared_length(head: RequestHead) -> int:
-    """Return the length of the body that a head announces, 0 for none or chunks."""
+    """Return the Content-Length of a request, 0 if it has no body or a chunked one."""
     return int(head.get("content-length") or 0)
 
 
-def told_s(head: RequestHead, name: str, longest_ms: float) -> float | None:
-    """Return the seconds that a header tells in milliseconds, None without the header.
+def told_s(head: RequestHead, name: str, max_ms: float) -> float | None:
+    """Return the value in seconds of a header in milliseconds, None without the header.
 
     Args:
-        head: The head.
-        name: Name of the header.
-        longest_ms: Longest time; more is taken for that.
+        head: Request head.
+        name: Name of the header in lower case.
+        max_ms: Upper limit in milliseconds; a larger value is replaced by it, a negative one
+            by 0.
 
     Raises:
-        ValueError: The header is no number.
+        ValueError: The value is not a number.
     """
     text = head.get(name)
-    return None if text is None else min(longest_ms, max(0.0, float(text))) / 1000
+    return None if text is None else min(max_ms, max(0.0, float(text))) / 1000
 
 
 def end_to_end(headers: typing.Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return headers without those that concern one connection, with their spelling."""
-    kept = list(headers)
-    named = {
+    """Return headers without the hop-by-hop headers, in their original spelling.
+
+    Hop-by-hop headers concern only one connection: those in `_HOP_BY_HOP`, and those that a
+    Connection header names.
+    """
+    all_headers = list(headers)
+    connection_options = {
         token.strip().lower()
-        for name, value in kept
+        for name, value in all_headers
         if name.lower() == b"connection"
         for token in value.split(b",")
     }
-    dropped = _HOP_BY_HOP | named
-    return tuple((name, value) for name, value in kept if name.lower() not in dropped)
+    dropped = _HOP_BY_HOP | connection_options
+    return tuple((name, value) for name, value in all_headers if name.lower() not in dropped)
 
 
 def server_side() -> h11.Connection:
-    """Return a parser for one request of a client."""
-    return h11.Connection(h11.SERVER, max_incomplete_event_size=_H11_BUFFER_OCTETS)
+    """Return a parser for one client request."""
+    return h11.Connection(h11.SERVER, max_incomplete_event_size=_H11_BUFFER_BYTES)
 
 
 def client_side() -> h11.Connection:
-    """Return a parser for one answer of a server."""
-    return h11.Connection(h11.CLIENT, max_incomplete_event_size=_H11_BUFFER_OCTETS)
+    """Return a parser for one server response."""
+    return h11.Connection(h11.CLIENT, max_incomplete_event_size=_H11_BUFFER_BYTES)
 
 
-def encode_answer(answer: Answer, with_body: bool, closing: bool) -> bytes:
-    """Return the octets of an answer with its length told beforehand.
+def encode_answer(response: Answer, with_body: bool, closing: bool) -> bytes:
+    """Return the bytes of a response, with a Content-Length header in place of chunks.
 
     Args:
-        answer: The answer; a length among its headers is replaced.
-        with_body: Whether the body follows, which it does not after HEAD.
-        closing: Whether the connection is closed afterwards.
+        response: Response. Its Content-Length is replaced by the length of the body, unless the
+            body is omitted.
+        with_body: Whether the body is sent; responses to HEAD requests have none.
+        closing: Whether the connection is closed after the response.
     """
-    lines = [b"HTTP/1.1 %d %s" % (answer.status, answer.reason)]
+    lines = [b"HTTP/1.1 %d %s" % (response.status, response.reason)]
     length = None
-    for name, value in answer.headers:
+    for name, value in response.headers:
         if name.lower() == b"content-length":
             length = value
         else:
             lines.append(name + b": " + value)
-    if answer.status not in (204, 304):
+    if response.status not in (204, 304):
         keeps_length = not with_body and length is not None
-        told = length if keeps_length else str(len(answer.body)).encode()
-        lines.append(b"Content-Length: " + typing.cast(bytes, told))
+        sent_length = length if keeps_length else str(len(response.body)).encode()
+        lines.append(b"Content-Length: " + typing.cast(bytes, sent_length))
     if closing:
         lines.append(b"Connection: close")
     head = b"\r\n".join(lines) + _HEAD_END
-    return head + answer.body if with_body else head
+    return head + response.body if with_body else head
 
 
 def encode_request(head: RequestHead, body: bytes) -> bytes:
-    """Return the octets of a request; its headers must hold no length."""
+    """Return the bytes of a request.
+
+    Args:
+        head: Request head, which must not have a Content-Length header.
+        body: Body of the request.
+    """
     lines = [head.method + b" " + head.target + b" HTTP/1.1"]
     lines += [name + b": " + value for name, value in head.headers]
     if body or head.method in (b"POST", b"PUT", b"PATCH"):
--- a/src/carobhook/protocol/language.py
+++ b/src/carobhook/protocol/language.py
@@ -1,4 +1,4 @@
-"""Parses the operators' language to typed statements."""
+"""Parser of the operators' language, which builds typed statements."""
 
 import difflib
 import pathlib
@@ -21,21 +21,23 @@
 
 
 class SyntaxFaultError(Exception):
-    """A statement does not parse.
+    """A statement has a syntax error.
 
     Attributes:
-        column: Column of the fault, from 1.
-        word: The word there; empty at the end.
-        expected: What was expected there.
+        column: Column of the error, counted from 1.
+        word: Word at that column; empty at the end of the text.
+        expected: Words, or descriptions of words, that are valid there.
     """
 
     def __init__(self, column: int, word: str, expected: tuple[str, ...]) -> None:
         self.column = column
         self.word = word
         self.expected = expected
-        super().__init__(f"column {column}: {self._found()}; expected {_either(expected)}")
+        super().__init__(
+            f"column {column}: {self._describe()}; expected {_join_alternatives(expected)}"
+        )
 
-    def _found(self) -> str:
+    def _describe(self) -> str:
         if not self.word:
             return "the order ends too early"
         near = difflib.get_close_matches(self.word, self.expected, n=1)
@@ -43,13 +45,13 @@
         return f"{self.word!r} is not understood here{hint}"
 
 
-def _either(expected: tuple[str, ...]) -> str:
+def _join_alternatives(expected: tuple[str, ...]) -> str:
     return " or ".join(expected) if expected else "something else"
 
 
 @lark.v_args(inline=True)
 class _Builder(lark.Transformer):
-    """Builds typed statements from the parse tree."""
+    """Builds typed statements from the parse tree; each method handles the rule of its name."""
 
     def start(self, statement: statements.Statement) -> statements.Statement:
         return statement
@@ -88,7 +90,7 @@
     def emergency_cap(self, share: float, window_s: float) -> statements.OwnCap:
         return statements.OwnCap(orders.Cap(share, window_s), emergency=True)
 
-    def own_cap(self, cap: statements.OwnCap) -> statements.OwnCap:
+    def cap_override(self, cap: statements.OwnCap) -> statements.OwnCap:
         return cap
 
     def for_rank(self, rank: str) -> int:
@@ -100,7 +102,7 @@
         source: str,
         target: str,
         share: float,
-        own_cap: statements.OwnCap | None,
+        cap_override: statements.OwnCap | None,
         priority: int | None,
     ) -> statements.Shift:
         return statements.Shift(
@@ -108,28 +110,33 @@
             ids.Region(str(source)),
             ids.Region(str(target)),
             share,
-            own_cap,
+            cap_override,
             priority,
         )
 
-    def subject(self, kind: str, name: str) -> tuple[orders.DrainKind, str]:
+    def drain_target(self, kind: str, name: str) -> tuple[orders.DrainKind, str]:
         return orders.DrainKind(str(kind)), str(name)
 
     def drain(
         self,
-        subject: tuple[orders.DrainKind, str],
+        target: tuple[orders.DrainKind, str],
         starts: str | None,
         ends: str | None,
-        own_cap: statements.OwnCap | None,
+        cap_override: statements.OwnCap | None,
     ) -> statements.Drain:
-        return statements.Drain(*subject, own_cap, _second(starts), _second(ends))
+        return statements.Drain(
+            *target,
+            cap_override,
+            _seconds_since_midnight(starts),
+            _seconds_since_midnight(ends),
+        )
 
-    def undrain(self, subject: tuple[orders.DrainKind, str]) -> statements.Undrain:
-        return statements.Undrain(*subject)
+    def undrain(self, target: tuple[orders.DrainKind, str]) -> statements.Undrain:
+        return statements.Undrain(*target)
 
     def set_cap(self, share: float, window_s: float, service: str | None) -> statements.SetCap:
-        named = None if service is None else ids.Service(str(service))
-        return statements.SetCap(orders.Cap(share, window_s), named)
+        service_name = None if service is None else ids.Service(str(service))
+        return statements.SetCap(orders.Cap(share, window_s), service_name)
 
     def set_rank(self, priority: str, route: str) -> statements.SetRank:
         return statements.SetRank(str(route), int(priority))
@@ -141,7 +148,7 @@
         return statements.Cancel(ids.OrderId(str(order)))
 
 
-def _second(time: str | None) -> int | None:
+def _seconds_since_midnight(time: str | None) -> int | None:
     if time is None:
         return None
     hours, _, minutes = str(time).partition(":")
@@ -151,58 +158,58 @@
 _GRAMMAR = pathlib.Path(__file__).with_name("language.lark")
 _parser = lark.Lark(_GRAMMAR.read_text("utf-8"), parser="lalr", maybe_placeholders=True)
 _TERMINALS = {terminal.name: terminal.pattern for terminal in _parser.terminals}
-_CHOICES = {"SUBJECT": statements.Subject, "SUBJECT_KIND": orders.DrainKind}
+_ENUM_TERMINALS = {"SUBJECT": statements.Subject, "SUBJECT_KIND": orders.DrainKind}
 
 
 def parse(text: str) -> statements.Statement:
-    """Return the statement that a text stands for.
+    """Return the statement that a text encodes.
 
     Args:
-        text: One query or command.
+        text: One query, command or dry run.
 
     Raises:
-        SyntaxFaultError: The text does not parse.
+        SyntaxFaultError: The text has a syntax error.
     """
     try:
         return _Builder().transform(_parser.parse(text))
-    except lark.exceptions.VisitError as fault:
-        raise fault.orig_exc from fault
-    except lark.exceptions.UnexpectedInput as fault:
-        raise _fault_of(text, fault) from fault
+    except lark.exceptions.VisitError as error:
+        raise error.orig_exc from error
+    except lark.exceptions.UnexpectedInput as error:
+        raise _syntax_error(text, error) from error
 
 
 def expected_after(text: str) -> tuple[str, ...]:
-    """Return the words that may follow the beginning of an order.
+    """Return the words that may follow the first words of a statement.
 
     Args:
-        text: Whole words that an order begins with.
+        text: First words of a statement, each of them complete.
     """
     try:
         interactive = _parser.parse_interactive(text)
         interactive.exhaust_lexer()
-        return _words(interactive.accepts())
+        return _expected_words(interactive.accepts())
     except lark.exceptions.UnexpectedInput:
         return ()
 
 
-def _fault_of(text: str, fault: lark.exceptions.UnexpectedInput) -> SyntaxFaultError:
-    names = getattr(fault, "accepts", None) or getattr(fault, "expected", None)
-    names = names or getattr(fault, "allowed", None) or ()
-    start = fault.pos_in_stream
-    token = getattr(fault, "token", None)
+def _syntax_error(text: str, error: lark.exceptions.UnexpectedInput) -> SyntaxFaultError:
+    names = getattr(error, "accepts", None) or getattr(error, "expected", None)
+    names = names or getattr(error, "allowed", None) or ()
+    start = error.pos_in_stream
+    token = getattr(error, "token", None)
     if start is None or (token is not None and token.type == "$END"):
         start = len(text.rstrip())
-        return SyntaxFaultError(start + 1, "", _words(names))
+        return SyntaxFaultError(start + 1, "", _expected_words(names))
     words = text[start:].split()
-    return SyntaxFaultError(start + 1, words[0] if words else "", _words(names))
+    return SyntaxFaultError(start + 1, words[0] if words else "", _expected_words(names))
 
 
-def _words(names: typing.Iterable[str]) -> tuple[str, ...]:
-    """Return what operators write for the names of terminals."""
+def _expected_words(names: typing.Iterable[str]) -> tuple[str, ...]:
+    """Return the words, or descriptions of words, that match the given terminals."""
     words: set[str] = set()
     for name in names:
-        if name in _CHOICES:
-            words.update(choice.value for choice in _CHOICES[name])
+        if name in _ENUM_TERMINALS:
+            words.update(member.value for member in _ENUM_TERMINALS[name])
         elif name in _DESCRIPTIONS:
             words.add(_DESCRIPTIONS[name])
         else:
--- a/src/carobhook/protocol/order_codec.py
+++ b/src/carobhook/protocol/order_codec.py
@@ -1,4 +1,4 @@
-"""Plain form of the operators' orders, as the store keeps them."""
+"""Converts the operators' orders to and from the JSON values that the store holds."""
 
 import functools
 import typing
@@ -10,7 +10,7 @@
 
 
 class MalformedOrdersError(ValueError):
-    """A stored value is not one of orders."""
+    """A stored value does not encode orders."""
 
 
 @functools.cache
@@ -18,24 +18,24 @@
     return cattrs.preconf.json.make_converter()
 
 
-def plain(book: orders.OrderBook) -> typing.Any:
-    """Return orders as values that JSON can hold."""
-    return _converter().unstructure(book)
+def plain(state: orders.OrderBook) -> typing.Any:
+    """Return the JSON value of orders."""
+    return _converter().unstructure(state)
 
 
 def book(value: typing.Any) -> orders.OrderBook:
-    """Return the orders of a stored value.
+    """Return the orders that a stored JSON value encodes.
 
     Args:
-        value: What `plain` returned.
+        value: Value that `encode` returned.
 
     Raises:
-        MalformedOrdersError: The value is not of that form.
+        MalformedOrdersError: The value does not encode orders.
     """
     if not isinstance(value, dict):
         raise MalformedOrdersError(f"orders must be a table, got {value!r:.60}")
     try:
         return _converter().structure(value, orders.OrderBook)
     except Exception as problem:
-        # The converter raises groups of whatever the fields' types raise.
+        # cattrs raises exception groups, which may contain any exception of the fields' types.
         raise MalformedOrdersError(f"orders cannot be read: {problem!r:.200}") from problem
--- a/src/carobhook/protocol/own_calls.py
+++ b/src/carobhook/protocol/own_calls.py
@@ -1,7 +1,8 @@
-"""Calls of the product's own interface for clients: look-ups, and requests to a service.
+"""Carobhook's own HTTP interface for clients: look-ups, and requests to a named service.
 
-Clients that know no routes name the service: ``/v1/services/NAME/PATH`` on the address for
-requests, and ``/v1/lookup?region=R&failure_domain=D`` on that for the directory.
+Clients that do not know the routes name the service, in ``/v1/services/NAME/PATH`` at the
+address for requests. They send look-ups to ``/v1/lookup?region=R&failure_domain=D`` at the
+address of the directory.
 """
 
 import json
@@ -14,16 +15,21 @@
 
 LOOKUP_PATH = "/v1/lookup"
 _SERVICES_PREFIX = "/v1/services/"
-_TIME_LEFT_HEADER = "carobhook-deadline-ms"
+_DEADLINE_HEADER = "carobhook-deadline-ms"
 _RANK_HEADER = "carobhook-rank"
 _REPEATABLE_METHODS = frozenset({b"GET", b"HEAD", b"PUT", b"DELETE", b"OPTIONS"})
-_LONGEST_MS = 3600 * 1000
+_MAX_DEADLINE_MS = 3600 * 1000
 _DEFAULT_RANK = 1
 
 
 @attrs.frozen
 class Lookup:
-    """Asks where clients of a failure domain connect to."""
+    """Asks for the addresses of the instances that a client should use.
+
+    Attributes:
+        region: Region of the client.
+        failure_domain: Failure domain of the client.
+    """
 
     region: ids.Region
     failure_domain: ids.FailureDomain
@@ -31,14 +37,14 @@
 
 @attrs.frozen
 class ServiceCall:
-    """A request to a service by its name.
+    """Request of a client to a service that it names.
 
     Attributes:
-        service: The service.
-        head: The request as the service gets it.
-        repeatable: Whether it may run more than once, by its method.
-        priority: Rank that the client asks for; 0 is the most urgent.
-        time_left_s: Seconds that the client waits, None if it does not say.
+        service: Name of the service.
+        head: Request head for the service, whose target lacks the ``/v1/services/NAME`` prefix.
+        repeatable: Whether the request may run more than once, which its method determines.
+        priority: Rank that the client requests; 0 is the most urgent.
+        time_left_s: Seconds that the client waits for the response, None if not given.
     """
 
     service: ids.Service
@@ -49,7 +55,7 @@
 
 
 def lookup(target: bytes) -> Lookup | None:
-    """Return the look-up that a request target stands for, None if it is none."""
+    """Return the look-up that a request target encodes, None for any other target."""
     path, _, query = target.decode("latin-1").partition("?")
     if path != LOOKUP_PATH:
         return None
@@ -61,23 +67,26 @@
 
 
 def lookup_answer(addresses: list[str], ttl_s: float) -> http1.Answer:
-    """Return the answer to a look-up.
+    """Return the response to a look-up; its status is 503 if there is no address.
 
     Args:
-        addresses: Addresses for requests, best first.
-        ttl_s: Seconds for which clients may keep it.
+        addresses: Addresses for requests, ``host:port``, the preferred one first.
+        ttl_s: Seconds for which clients may cache the addresses.
     """
-    plain = {"addresses": addresses, "ttl_s": ttl_s}
+    fields = {"addresses": addresses, "ttl_s": ttl_s}
     headers = ((b"Content-Type", b"application/json"),)
     status, reason = (200, b"OK") if addresses else (503, b"Service Unavailable")
-    return http1.Answer(status, reason, headers, json.dumps(plain).encode() + b"\n")
+    return http1.Answer(status, reason, headers, json.dumps(fields).encode() + b"\n")
 
 
 def service_call(head: http1.RequestHead) -> ServiceCall | None:
-    """Return the call of a service that a request stands for, None if it is none.
+    """Return the service call that a request encodes, None if its target names no service.
+
+    Args:
+        head: Request head of the client.
 
     Raises:
-        ValueError: A header holds no number.
+        ValueError: The rank or deadline header is not a number.
     """
     target = head.target.decode("latin-1")
     if not target.startswith(_SERVICES_PREFIX):
@@ -88,16 +97,16 @@
         attrs.evolve(head, target=f"{slash or '/'}{rest}".encode("latin-1")),
         head.method in _REPEATABLE_METHODS,
         int(head.get(_RANK_HEADER) or _DEFAULT_RANK),
-        http1.told_s(head, _TIME_LEFT_HEADER, _LONGEST_MS),
+        http1.told_s(head, _DEADLINE_HEADER, _MAX_DEADLINE_MS),
     )
 
 
 def result_headers(code: codes.Code, may_have_run: bool) -> http1.Headers:
-    """Return the headers that tell a client what became of its request.
+    """Return the headers that report the result of a request to the client.
 
     Args:
-        code: The result.
-        may_have_run: Whether a server may have run it all the same.
+        code: Result code.
+        may_have_run: Whether a server may have run the request, whatever the code says.
     """
     run = codes.Run.UNKNOWN if may_have_run else code.run
     return (
--- a/src/carobhook/protocol/slot_messages.py
+++ b/src/carobhook/protocol/slot_messages.py
@@ -1,6 +1,8 @@
 """Messages between instances about slots of backend servers.
 
-Times are told as milliseconds from now, because monotonic clocks differ between instances.
+A shard is the set of a service's servers in one region; one instance at a time is its
+dispatcher, which grants slots of these servers. Times are sent as milliseconds from now,
+because the monotonic clocks of instances differ.
 """
 
 import attrs
@@ -10,14 +12,21 @@
 
 @attrs.frozen
 class SlotAsked:
-    """Asks the dispatcher of a service's servers in a region for a slot.
+    """Asks the dispatcher of a shard for a slot.
 
     Attributes:
-        region: Region of the dispatcher.
-        target_ms: Milliseconds until an answer is late.
-        deadline_ms: Milliseconds until no answer is wanted.
-
-    The other attributes are those of `state.asks.Ask`.
+        id: Id of the request, assigned by the sender.
+        region: Region of the shard.
+        service: Service of the shard.
+        route: Name of the request's route.
+        object_key: Key of the request's object on a route with object affinity, else None.
+        priority: Rank of the request; 0 is the most urgent.
+        target_ms: Milliseconds from now after which a response is late and worth less.
+        deadline_ms: Milliseconds from now after which a response is useless.
+        repeat: Whether the request was already sent to a server.
+        avoided: Servers that must not run the request.
+        homes: Regions whose servers may run the request; empty for all regions.
+        domain: Failure domain of the sender, None if unknown.
     """
 
     id: ids.RequestId
@@ -36,7 +45,13 @@
 
 @attrs.frozen
 class SlotAskWithdrawn:
-    """Takes an ask back."""
+    """Withdraws a slot request, or returns its slot if the grant is already on its way.
+
+    Attributes:
+        id: Id of the slot request.
+        region: Region of the shard.
+        service: Service of the shard.
+    """
 
     id: ids.RequestId
     region: ids.Region
@@ -45,20 +60,24 @@
 
 @attrs.frozen
 class SlotGranted:
-    """Answers an ask with a slot."""
+    """Answers a slot request with a slot.
+
+    Attributes:
+        grant: The granted slot.
+    """
 
     grant: asks.SlotGrant
 
 
 @attrs.frozen
 class SlotRefused:
-    """Answers an ask without a slot.
+    """Answers a slot request with a refusal.
 
     Attributes:
-        ask_id: Id of the ask.
-        code: Number of the result code.
-        retry_after_s: Seconds after which room is expected.
-        detail: What it was decided from, for the log.
+        ask_id: Id of the slot request.
+        code: Number of the result code that names the reason.
+        retry_after_s: Seconds after which a slot is expected to be free.
+        detail: Values that the decision was based on, for the log.
     """
 
     ask_id: ids.RequestId
@@ -69,14 +88,26 @@
 
 @attrs.frozen
 class SlotMoved:
-    """Answers an ask that another instance must decide."""
+    """Answers a slot request of which the sender is not, or no longer, the dispatcher.
+
+    Attributes:
+        ask_id: Id of the slot request.
+    """
 
     ask_id: ids.RequestId
 
 
 @attrs.frozen
 class SlotEnded:
-    """Gives a slot back."""
+    """Returns a slot to the dispatcher and reports the outcome of the request.
+
+    Attributes:
+        id: Id of the slot request.
+        region: Region of the shard.
+        service: Service of the shard.
+        server: Server of the slot.
+        end: Outcome of the request on the server.
+    """
 
     id: ids.RequestId
     region: ids.Region
@@ -87,7 +118,12 @@
 
 @attrs.frozen
 class SlotsWanted:
-    """Asks an instance which slots of a shard its requests hold; answered by `SlotsHeld`."""
+    """Asks an instance which slots of a shard its requests hold; answered by `SlotsHeld`.
+
+    Attributes:
+        region: Region of the shard.
+        service: Service of the shard.
+    """
 
     region: ids.Region
     service: ids.Service
@@ -95,13 +131,13 @@
 
 @attrs.frozen
 class HeldSlot:
-    """A slot that a request holds at present.
+    """Slot that a request currently holds.
 
     Attributes:
-        id: Id of the ask.
-        route: Route of the request.
-        object_key: Its object.
-        server: The server.
+        id: Id of the slot request.
+        route: Name of the request's route.
+        object_key: Key of the request's object on a route with object affinity, else None.
+        server: Server of the slot.
     """
 
     id: ids.RequestId
@@ -112,7 +148,13 @@
 
 @attrs.frozen
 class SlotsHeld:
-    """Tells a new dispatcher which of its slots are in use."""
+    """Tells a new dispatcher of a shard which slots the sender's requests hold.
+
+    Attributes:
+        region: Region of the shard.
+        service: Service of the shard.
+        held: Slots that the sender's requests hold.
+    """
 
     region: ids.Region
     service: ids.Service
@@ -121,16 +163,19 @@
 
 @attrs.frozen
 class RegionReport:
-    """What the dispatcher of one region tells that of another.
+    """Load and loans that a region's dispatcher reports to another region's dispatcher.
 
     Attributes:
-        service: The service.
-        region: Region of the sender.
-        receiver: Region of the dispatcher that it is for.
-        slots: Slots of its own servers that can be used.
-        demand: Slots that its clients' requests keep busy, None before the first request.
-        lent: Servers whose slots the receiver may use, with their numbers.
-        used: Servers of the receiver's region that the sender uses, with their busy slots.
+        service: Service of both dispatchers.
+        region: Region of the sending dispatcher.
+        receiver: Region of the receiving dispatcher.
+        slots: Number of usable slots of the sending region's servers.
+        demand: Average number of slots that the requests of the sending region need, None
+            before the first request.
+        lent: Pairs of a server of the sending region and the number of its slots that the
+            receiver may use.
+        used: Pairs of a server of the receiving region and the number of its slots that the
+            sender's requests hold.
     """
 
     service: ids.Service
@@ -144,18 +189,18 @@
 
 @attrs.frozen
 class ShardLoad:
-    """How busy the servers of one service in one region are, for operators.
+    """Load of one shard, for operators.
 
     Attributes:
-        region: The region.
-        service: The service.
-        slots: Slots of the region's own servers.
-        usable: Slots that the region's dispatcher may give out, borrowed ones included.
-        running: Requests that hold one.
-        waiting: Requests that wait for one.
-        demand: Slots that the requests keep busy, None before the first request.
-        lent: Slots lent to other regions.
-        withheld: Slots of its own servers that drains leave unused.
+        region: Region of the shard.
+        service: Service of the shard.
+        slots: Number of slots of the region's own servers.
+        usable: Number of slots that the dispatcher may grant, including borrowed ones.
+        running: Number of requests that hold a slot.
+        waiting: Number of requests that wait for a slot.
+        demand: Average number of slots that the requests need, None before the first request.
+        lent: Pairs of another region and the number of slots lent to it.
+        withheld: Number of slots of the region's own servers that are unused because of drains.
     """
 
     region: ids.Region
@@ -171,14 +216,23 @@
 
 @attrs.frozen
 class LoadsWanted:
-    """Asks an instance how busy the shards are that it gives out."""
+    """Asks an instance for the load of the shards of which it is the dispatcher.
+
+    Attributes:
+        id: Id of the query, which the answer repeats.
+    """
 
     id: str
 
 
 @attrs.frozen
 class LoadsTold:
-    """Answers `LoadsWanted`."""
+    """Answers `LoadsWanted`.
+
+    Attributes:
+        id: Id of the query.
+        loads: Load of each shard of which the sender is the dispatcher.
+    """
 
     id: str
     loads: tuple[ShardLoad, ...]
@@ -186,7 +240,14 @@
 
 @attrs.frozen
 class RequestMarked:
-    """Servers broke while they ran a request of this fingerprint."""
+    """Marks a request as suspect, because a server's connection broke while it ran the request.
+
+    Attributes:
+        fingerprint: Hash that identifies the request.
+        name: Random id of the mark.
+        source: Instance at which the connection broke.
+        remaining_ms: Milliseconds from now until the mark expires.
+    """
 
     fingerprint: bytes
     name: str
@@ -196,6 +257,10 @@
 
 @attrs.frozen
 class RequestCleared:
-    """A marked request was answered whole, so its marks no longer hold."""
+    """Removes all marks of a request, because a server answered it completely.
+
+    Attributes:
+        fingerprint: Hash that identifies the request.
+    """
 
     fingerprint: bytes
--- a/src/carobhook/state/__init__.py
+++ b/src/carobhook/state/__init__.py
@@ -1,1 +1,1 @@
-"""State layer: immutable values and the ids, enums and codes they are made of."""
+"""Immutable value types, identifiers, enums and result codes that all other layers use."""
--- a/src/carobhook/state/asks.py
+++ b/src/carobhook/state/asks.py
@@ -1,4 +1,8 @@
-"""What instances say to each other about slots of backend servers."""
+"""Slot requests, the dispatcher's decisions on them, and outcomes of requests on servers.
+
+A slot is the capacity of a backend server to run one request. A dispatcher grants the slots of
+one service in one region.
+"""
 
 import enum
 
@@ -8,15 +12,15 @@
 
 
 class WorkEnd(enum.Enum):
-    """How a request on a backend server ended, as far as the server is concerned.
-
-    ANSWERED: A whole answer that is no failure of the server.
-    FAILED: A whole answer that is a failure of the server.
-    SHED: The server said that it did not run the request, as it is full.
-    MISDIRECTED: Another server has the address.
-    UNREACHABLE: No connection could be opened.
-    BROKEN: The connection broke, or what came was no answer.
-    CANCELLED: This program gave the exchange up.
+    """Outcome of sending a request to a backend server once.
+
+    ANSWERED: The server sent a complete response that does not report a server failure.
+    FAILED: The server sent a complete response that reports a server failure.
+    SHED: The server is overloaded and reported that it did not run the request.
+    MISDIRECTED: The address now belongs to another server.
+    UNREACHABLE: No connection to the server could be opened.
+    BROKEN: The connection broke, or the server sent an invalid response.
+    CANCELLED: The instance cancelled the exchange, which says nothing about the server.
     """
 
     ANSWERED = "answered"
@@ -30,20 +34,20 @@
 
 @attrs.frozen
 class Ask:
-    """A request's wish for a slot.
+    """Asks a dispatcher for a slot in which to run one request.
 
     Attributes:
-        id: Id of the request at the instance that asks.
-        service: Service that is to run it.
-        route: Name of its route.
-        object_key: Object that it concerns, or None.
-        priority: Rank; 0 is the most urgent.
-        target_at: Monotonic time in seconds until which an answer earns its full worth.
-        deadline_at: Monotonic time in seconds after which no answer is wanted.
-        repeat: Whether the request was sent to a server before.
-        avoided: Servers that must not get it.
-        homes: Regions whose servers may get it; empty for all.
-        domain: Failure domain of the instance that asks.
+        id: Id of the request, assigned by the requesting instance.
+        service: Service that must run the request.
+        route: Name of the request's route.
+        object_key: Key of the request's object on a route with object affinity, else None.
+        priority: Rank of the request; 0 is the most urgent.
+        target_at: Monotonic time in seconds after which a response is late and worth less.
+        deadline_at: Monotonic time in seconds after which a response is useless.
+        repeat: Whether the request was already sent to a server.
+        avoided: Servers that must not run the request.
+        homes: Regions whose servers may run the request; empty for all regions.
+        domain: Failure domain of the requesting instance, None if unknown.
     """
 
     id: ids.RequestId
@@ -61,13 +65,13 @@
 
 @attrs.frozen
 class SlotGrant:
-    """A slot of a server, which the request holds until its end is told.
+    """Grants a request a slot, which stays in use until the request's outcome is reported.
 
     Attributes:
-        ask_id: Id of the ask.
-        server: The server.
-        address: Its ``host:port``.
-        expected_s: Seconds that the server is expected to work.
+        ask_id: Id of the slot request.
+        server: Server that runs the request.
+        address: Address of the server, ``host:port``.
+        expected_s: Estimated time in seconds that the server needs for the request.
     """
 
     ask_id: ids.RequestId
@@ -78,13 +82,13 @@
 
 @attrs.frozen
 class SlotRefusal:
-    """Says that a request will get no slot.
+    """Refuses a request a slot.
 
     Attributes:
-        ask_id: Id of the ask.
-        code: Why.
-        retry_after_s: Seconds after which room is expected.
-        detail: What it was decided from, for the log.
+        ask_id: Id of the slot request.
+        code: Result code that names the reason.
+        retry_after_s: Seconds after which a slot is expected to be free.
+        detail: Values that the decision was based on, for the log.
     """
 
     ask_id: ids.RequestId
--- a/src/carobhook/state/codes.py
+++ b/src/carobhook/state/codes.py
@@ -1,4 +1,4 @@
-"""Numbered result codes: the one list of what a request or an order can come to."""
+"""Numbered result codes of requests, orders, settings and start-up, in one list."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Run(enum.Enum):
-    """What a result says about whether the request was run."""
+    """Whether a request or order was executed, as far as its result code can tell."""
 
     RAN = "ran"
     NOT_RUN = "not-run"
@@ -15,14 +15,15 @@
 
 @attrs.frozen
 class CodeInfo:
-    """Meaning of one result code.
+    """Number, HTTP status and meaning of one result code.
 
     Attributes:
-        number: The code itself; 1xxx requests, 2xxx orders, 3xxx settings and start-up.
-        http_status: HTTP status sent with it.
-        run: What it says about running.
-        retry: Whether the same call may be sent again later.
-        text: One plain sentence for people.
+        number: Numeric code: 1xxx for requests, 2xxx for orders, 3xxx for settings and
+            start-up.
+        http_status: HTTP status that is sent with the code.
+        run: Whether the request or order was executed.
+        retry: Whether the client may send the same call again later.
+        text: Explanation in one sentence, for users.
     """
 
     number: int
@@ -33,7 +34,7 @@
 
 
 class Code(enum.Enum):
-    """Every result code of carobhook."""
+    """All result codes of carobhook."""
 
     OK = CodeInfo(1000, 200, Run.RAN, False, "The request ran and its whole answer was sent.")
     BAD_REQUEST = CodeInfo(1002, 400, Run.NOT_RUN, False, "The request is malformed.")
@@ -111,10 +112,10 @@
 
     @property
     def number(self) -> int:
-        """Return the code's number."""
+        """Return the numeric code."""
         return self.value.number
 
     @property
     def run(self) -> Run:
-        """Return what the code says about running."""
+        """Return whether the request or order was executed."""
         return self.value.run
--- a/src/carobhook/state/members.py
+++ b/src/carobhook/state/members.py
@@ -1,4 +1,4 @@
-"""Instances and backend servers as other instances see them."""
+"""State that an entry instance announces to the other instances."""
 
 import enum
 
@@ -10,7 +10,7 @@
 
 
 class Phase(enum.Enum):
-    """Phase of an instance or backend server."""
+    """Lifecycle phase of an entry instance."""
 
     STARTING = "starting"
     READY = "ready"
@@ -19,20 +19,20 @@
 
 @attrs.frozen(cache_hash=True)
 class Member:
-    """What an instance says of itself in a heartbeat.
+    """State of an instance, which it announces in its heartbeats.
 
     Attributes:
         name: Name of the instance.
-        incarnation: Id of this run of its daemon.
-        region: Its region.
-        failure_domain: Its failure domain.
-        http: Its address for callers, ``host:port``.
-        peers: Its address for other instances, ``host:port``.
-        phase: Its phase.
-        version: Version of the configuration in force there.
-        orders_version: Version of the operators' orders in force there.
-        reaches_store: Whether the store answers it, so that it can follow it for others.
-        weight: How much it can carry, relative to other instances.
+        incarnation: Id of the current run of its daemon.
+        region: Region that it runs in.
+        failure_domain: Failure domain that it runs in.
+        http: Address at which it accepts client requests, ``host:port``.
+        peers: Address at which it accepts streams of other instances, ``host:port``.
+        phase: Lifecycle phase.
+        version: Version of the configuration that it applies.
+        orders_version: Version of the operators' orders that it applies.
+        reaches_store: Whether the store answers it, so that it can feed other instances.
+        weight: Capacity relative to other instances.
     """
 
     name: ids.InstanceId
--- a/src/carobhook/state/orders.py
+++ b/src/carobhook/state/orders.py
@@ -1,4 +1,4 @@
-"""What operators have ordered: shifts, drains, caps and ranks, kept as one value."""
+"""Operators' orders: shifts, drains, caps and ranks, stored as one versioned object."""
 
 import enum
 from collections.abc import Mapping
@@ -8,7 +8,7 @@
 
 from carobhook.state import ids
 
-# Where the store keeps the orders: kind and name of the one object.
+# Kind and name of the object that holds the orders in the store.
 STORE_KIND = "orders"
 STORE_NAME = "main"
 _SHARE = validators.and_(validators.ge(0.0), validators.le(1.0))
@@ -16,10 +16,10 @@
 
 @attrs.frozen
 class Cap:
-    """Most of a service's traffic of one region that may move within any window.
+    """Limits how much of a service's traffic in one region may move within any time window.
 
     Attributes:
-        share: Share of the traffic.
+        share: Largest fraction of the traffic that may move, from 0 to 1.
         window_s: Length of the window in seconds.
     """
 
@@ -32,7 +32,7 @@
 
 
 class DrainKind(enum.Enum):
-    """What a drain empties."""
+    """Kind of target that a drain takes out of service."""
 
     REGION = "region"
     FAILURE_DOMAIN = "failure-domain"
@@ -41,11 +41,11 @@
 
 @attrs.frozen
 class Span:
-    """Wall-clock times in seconds between which an order holds.
+    """Period in which an order is in force.
 
     Attributes:
-        begins_at: From when on.
-        ends_at: Until when, None for no end.
+        begins_at: Wall-clock time in seconds at which the order takes effect.
+        ends_at: Wall-clock time in seconds at which it ends, None if it has no end.
     """
 
     begins_at: float
@@ -54,18 +54,18 @@
 
 @attrs.frozen
 class Shift:
-    """Has requests of one region's clients served by another region.
+    """Moves requests of one region's clients to the servers of another region.
 
     Attributes:
         order: Id of the order.
-        author: Operator who gave it.
-        service: The service.
+        author: Operator who gave the order.
+        service: Service whose requests move.
         source: Region whose clients' requests move.
-        target: Region that takes them.
-        share: Share of the requests.
-        span: When it holds.
-        cap: Cap of its own, None for the general one.
-        priority: Rank that moves, None for all.
+        target: Region whose servers run them.
+        share: Fraction of the requests that moves, from 0 to 1.
+        span: Period in which the shift is in force.
+        cap: Cap that overrides the general one, or None.
+        priority: Rank of the requests that move, None for all ranks.
     """
 
     order: ids.OrderId
@@ -81,15 +81,15 @@
 
 @attrs.frozen
 class Drain:
-    """Leaves the servers of a region or failure domain, or one server, without new work.
+    """Stops new requests to the servers of a region or failure domain, or to one server.
 
     Attributes:
         order: Id of the order.
-        author: Operator who gave it.
-        kind: What it empties.
-        name: Its name.
-        span: When it holds.
-        cap: Cap of its own, None for the general one.
+        author: Operator who gave the order.
+        kind: Kind of the drained target.
+        name: Name of the drained target.
+        span: Period in which the drain is in force.
+        cap: Cap that overrides the general one, or None.
     """
 
     order: ids.OrderId
@@ -105,14 +105,14 @@
 
 @attrs.frozen
 class Change:
-    """One accepted order, for the audit trail.
+    """Audit trail entry for an accepted order.
 
     Attributes:
-        version: Version of the orders that it made.
-        order: Its id.
-        author: Operator who gave it.
-        at: Wall-clock time in seconds.
-        text: The order as it was written.
+        version: Version of the orders that the order produced.
+        order: Id of the order.
+        author: Operator who gave the order.
+        at: Wall-clock time in seconds at which it was accepted.
+        text: Text of the order as the operator wrote it.
     """
 
     version: ids.Version
@@ -124,16 +124,16 @@
 
 @attrs.frozen
 class OrderBook:
-    """All orders in force, with the changes that led to them.
+    """All orders in force, with the latest changes that produced them.
 
     Attributes:
-        version: Rises by one with each change.
-        shifts: Shifts, also those that have ended and still return.
-        drains: Drains, in the same way.
+        version: Version number, which increases by one with each change.
+        shifts: Shifts, including ended ones whose traffic is still moving back.
+        drains: Drains, including ended ones whose traffic is still moving back.
         caps: Caps by service.
-        cap: The cap of all other services.
-        priorities: Ranks that go before those of the configuration, by route.
-        changes: The last changes, oldest first.
+        cap: General cap, for services that are not in `caps`.
+        priorities: Ranks by route name, which override those of the configuration.
+        changes: Latest changes, oldest first.
     """
 
     version: ids.Version = _NO_VERSION
@@ -146,11 +146,14 @@
 
     @property
     def moves(self) -> tuple["Move", ...]:
-        """Return the shifts and drains."""
+        """Return all shifts and drains."""
         return (*self.shifts, *self.drains)
 
     def cap_of(self, order: "Move") -> Cap:
-        """Return the cap that bounds how fast an order takes effect."""
+        """Return the cap that limits how fast an order moves traffic.
+
+        A drain without its own cap concerns all services, so the slowest of all caps applies.
+        """
         if order.cap is not None:
             return order.cap
         if isinstance(order, Shift):
@@ -158,5 +161,5 @@
         return min((self.cap, *self.caps.values()), key=lambda cap: cap.share / cap.window_s)
 
     def change_of(self, order: ids.OrderId) -> Change | None:
-        """Return the change that an order made, if it is still kept."""
+        """Return the change that an order made, or None if it is no longer retained."""
         return next((change for change in self.changes if change.order == order), None)
--- a/src/carobhook/state/routing.py
+++ b/src/carobhook/state/routing.py
@@ -1,4 +1,4 @@
-"""The operator's routing configuration: routes, services and limits on clients."""
+"""Routing configuration: routes, services and limits on client requests."""
 
 import enum
 from collections.abc import Iterable, Mapping
@@ -10,7 +10,7 @@
 
 
 class Idempotency(enum.Enum):
-    """What may be repeated of a route's requests."""
+    """Whether a route's requests may run more than once."""
 
     REPEATABLE = "repeatable"
     ONCE = "once"
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class Share:
-    """One service of a route and its weight among the route's services."""
+    """Service that receives part of a route's requests, in proportion to its weight."""
 
     service: ids.Service
     weight: float = attrs.field(validator=validators.ge(0))
@@ -26,20 +26,22 @@
 
 @attrs.frozen
 class Route:
-    """One route.
+    """Maps requests for a host and path prefix to services.
 
     Attributes:
         name: Name of the route.
-        host: Host that it serves.
-        prefix: Path prefix, which begins and ends with a slash.
-        idempotency: What may be repeated.
-        timeout_s: Longest time that a request is kept waiting, in seconds.
-        target_s: Time in which an answer earns its full worth, in seconds.
-        priority: Rank; 0 is the most urgent.
-        shares: Services that take its requests, with their weights.
-        max_attempts: Most backend servers that one client attempt may be sent to.
-        keeps_objects: Whether a server that handled an object lately works faster on it.
-        homes: Regions that may serve it; empty for all.
+        host: Host name that the route matches.
+        prefix: Path prefix that the route matches; it begins and ends with a slash.
+        idempotency: Whether requests may run more than once.
+        timeout_s: Time limit of a request in seconds, from its arrival to its response.
+        target_s: Latency target in seconds; a later response is worth less.
+        priority: Rank of the requests; 0 is the most urgent.
+        shares: Services that run the requests, with their weights.
+        max_attempts: Largest number of servers that one attempt of a client may be sent to;
+            servers that cannot be reached are not counted.
+        keeps_objects: Whether a server that recently handled an object handles it faster
+            again; if so, slot requests name the object.
+        homes: Regions that may run the requests; empty for all regions.
     """
 
     name: str
@@ -56,20 +58,20 @@
 
     @property
     def repeatable(self) -> bool:
-        """Return whether a request may run more than once."""
+        """Return whether a request of the route may run more than once."""
         return self.idempotency is Idempotency.REPEATABLE
 
 
 @attrs.frozen
 class ServicePolicy:
-    """What the configuration says of one service.
+    """Configuration of one service.
 
     Attributes:
-        name: The service.
-        health_path: Path of its health check.
-        max_connections: Connections that one server takes from all callers together.
-        cold_start_s: Seconds for which a started server is cold.
-        cold_per_s: Requests a second that a cold server bears.
+        name: Name of the service.
+        health_path: Path of the health check on its servers.
+        max_connections: Number of connections that one server accepts in total.
+        cold_start_s: Seconds for which a server counts as cold after its start.
+        cold_per_s: Requests per second that a cold server can handle.
     """
 
     name: ids.Service
@@ -81,7 +83,14 @@
 
 @attrs.frozen
 class ClientLimits:
-    """Bounds on what a client may send and how long it may take."""
+    """Limits on the size of client requests and on the time that clients may take.
+
+    Attributes:
+        max_header_bytes: Largest size of a request head.
+        max_body_bytes: Largest size of a request body.
+        header_timeout_s: Seconds in which a client must send a request head.
+        idle_timeout_s: Seconds after which a connection without a request is closed.
+    """
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 8 * 1024 * 1024
@@ -91,7 +100,14 @@
 
 @attrs.frozen
 class RoutingConfig:
-    """One version of the whole configuration."""
+    """One version of the complete routing configuration.
+
+    Attributes:
+        version: Version number, which increases with each change.
+        routes: All routes.
+        services: Policies by service name.
+        limits: Limits on client requests.
+    """
 
     version: int
     routes: tuple[Route, ...]
@@ -100,14 +116,14 @@
     _by_host: dict[str, list[Route]] = attrs.field(init=False, eq=False, repr=False)
 
     def __attrs_post_init__(self) -> None:
-        object.__setattr__(self, "_by_host", _index(self.routes))
+        object.__setattr__(self, "_by_host", _routes_by_host(self.routes))
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of a host with the longest prefix that begins a path, or None.
+        """Return the route with the longest matching path prefix, or None.
 
         Args:
-            host: Value of the request's host header; a port is ignored.
-            path: Path of the request, without its query.
+            host: Value of the Host header; its port is ignored.
+            path: Path of the request, without the query.
         """
         name = host.rpartition(":")[0] or host
         for route in self._by_host.get(name.lower(), ()):
@@ -116,11 +132,11 @@
         return None
 
 
-def _index(routes: Iterable[Route]) -> dict[str, list[Route]]:
-    """Return the routes of each host, those with the longest prefix first."""
+def _routes_by_host(routes: Iterable[Route]) -> dict[str, list[Route]]:
+    """Return the routes of each host, ordered from the longest prefix to the shortest."""
     by_host: dict[str, list[Route]] = {}
     for route in routes:
         by_host.setdefault(route.host.lower(), []).append(route)
-    for found in by_host.values():
-        found.sort(key=lambda route: len(route.prefix), reverse=True)
+    for host_routes in by_host.values():
+        host_routes.sort(key=lambda route: len(route.prefix), reverse=True)
     return by_host
--- a/src/carobhook/state/servers.py
+++ b/src/carobhook/state/servers.py
@@ -1,4 +1,4 @@
-"""Backend servers as their own entries in the store describe them."""
+"""Entries in which backend servers register themselves in the store."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class ServerState(enum.Enum):
-    """What a backend server says of itself."""
+    """State that a backend server reports in its entry."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -16,17 +16,17 @@
 
 @attrs.frozen
 class ServerEntry:
-    """One backend server's entry.
+    """Registration of one backend server.
 
     Attributes:
-        name: Id of the server, which names one start of it unless it kept its id.
-        service: Service that it runs.
-        zone: Its failure domain.
-        address: ``host:port``.
-        slots: Requests that it runs at once.
-        state: What it says of itself.
-        cold_s: Seconds for which it was still cold when it wrote the entry.
-        started_at_ms: Unix time of its start in milliseconds, or None if it does not say.
+        name: Id of the server, new with each start unless the server kept its id.
+        service: Service that the server runs.
+        zone: Failure domain that the server runs in.
+        address: Address at which the server accepts requests, ``host:port``.
+        slots: Number of requests that the server can run concurrently.
+        state: State that the server reports.
+        cold_s: Seconds for which the server was still cold when it wrote the entry.
+        started_at_ms: Unix time of the start in milliseconds, None if it is not given.
     """
 
     name: ids.Server
--- a/src/carobhook/state/statements.py
+++ b/src/carobhook/state/statements.py
@@ -1,4 +1,4 @@
-"""Statements of the operators' language, as typed values."""
+"""Typed statements of the operators' language: queries and commands."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class Subject(enum.Enum):
-    """What ``show`` can show."""
+    """Tables that ``show`` can print."""
 
     REGIONS = "regions"
     TRAFFIC = "traffic"
@@ -24,21 +24,21 @@
 
 @attrs.frozen
 class Show:
-    """Asks for a table."""
+    """Queries one table."""
 
     subject: Subject
 
 
 @attrs.frozen
 class ShowChange:
-    """Asks for one accepted change."""
+    """Queries the change that produced a version of the orders."""
 
     version: ids.Version
 
 
 @attrs.frozen
 class ExplainService:
-    """Asks where the requests of a region's clients for a service go, and why."""
+    """Queries where requests of a region's clients for a service are sent, and why."""
 
     service: ids.Service
     region: ids.Region
@@ -46,25 +46,25 @@
 
 @attrs.frozen
 class ExplainRegion:
-    """Asks what bears on a region's load."""
+    """Queries the load of a region and the drains that affect it."""
 
     region: ids.Region
 
 
 @attrs.frozen
 class Wait:
-    """Asks how far a version is in force."""
+    """Queries which instances do not apply a version of the orders yet."""
 
     version: ids.Version
 
 
 @attrs.frozen
 class OwnCap:
-    """Cap that comes with an order.
+    """Cap given with an order, which replaces the general cap for this order.
 
     Attributes:
         cap: The cap.
-        emergency: Whether it may be wider than the general one.
+        emergency: Whether the cap may be wider than the general one.
     """
 
     cap: orders.Cap
@@ -73,15 +73,15 @@
 
 @attrs.frozen
 class Shift:
-    """Has a share of one region's requests for a service served by another region.
+    """Moves a share of one region's requests for a service to the servers of another region.
 
     Attributes:
-        service: The service.
+        service: Service whose requests move.
         source: Region whose clients' requests move.
-        target: Region that takes them.
-        share: Share of the requests.
-        own_cap: Cap of the order, or None.
-        priority: Rank that moves, None for all.
+        target: Region whose servers run them.
+        share: Fraction of the requests that moves, from 0 to 1.
+        own_cap: Cap for this order, None for the general cap.
+        priority: Rank of the requests that move, None for all ranks.
     """
 
     service: ids.Service
@@ -94,14 +94,14 @@
 
 @attrs.frozen
 class Drain:
-    """Empties a region, failure domain or backend server.
+    """Stops new requests to a region, a failure domain or a backend server.
 
     Attributes:
-        kind: What is emptied.
-        name: Its name.
-        own_cap: Cap of the order, or None.
-        starts: Seconds of the day, UTC, at which it begins, or None for at once.
-        ends: Seconds of the day, UTC, at which it is undone, or None.
+        kind: Kind of the drained target.
+        name: Name of the drained target.
+        own_cap: Cap for this order, None for the general cap.
+        starts: Start in seconds since midnight UTC, None for immediately.
+        ends: End in seconds since midnight UTC, None for no end.
     """
 
     kind: orders.DrainKind
@@ -113,7 +113,7 @@
 
 @attrs.frozen
 class Undrain:
-    """Ends the drains of something."""
+    """Ends all drains of a region, a failure domain or a backend server."""
 
     kind: orders.DrainKind
     name: str
@@ -121,7 +121,7 @@
 
 @attrs.frozen
 class SetCap:
-    """Sets the cap of a service, or of all without one of their own."""
+    """Sets the cap of a service, or the general cap if no service is given."""
 
     cap: orders.Cap
     service: ids.Service | None = None
@@ -129,11 +129,11 @@
 
 @attrs.frozen
 class SetRank:
-    """Sets the rank of a route's requests, or gives back that of the configuration.
+    """Overrides the rank of a route's requests, or restores that of the configuration.
 
     Attributes:
         route: Name of the route.
-        priority: Rank, 0 being the most urgent; None for that of the configuration.
+        priority: Rank, where 0 is the most urgent; None restores that of the configuration.
     """
 
     route: str
@@ -142,7 +142,7 @@
 
 @attrs.frozen
 class Cancel:
-    """Ends an order; what it moved returns within the cap."""
+    """Ends a shift or drain; its traffic moves back no faster than the cap allows."""
 
     order: ids.OrderId
 
@@ -153,7 +153,7 @@
 
 @attrs.frozen
 class DryRun:
-    """Asks what a command would lead to."""
+    """Queries the effect of a command without carrying it out."""
 
     command: Command
 
--- a/tests/test_codes.py
+++ b/tests/test_codes.py
@@ -4,10 +4,10 @@
 
 
 class TestCode:
-    """The list of result codes."""
+    """The result codes."""
 
     def test_numbers_are_unique(self):
-        """Each code has a number of its own."""
+        """No two codes share a number."""
         numbers = [code.number for code in codes.Code]
 
         assert len(numbers) == len(set(numbers))
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -4,23 +4,23 @@
 
 from carobhook.protocol import http1
 
-_GOOD = b"GET /a/b?c HTTP/1.1\r\nHost: x\r\nX-Attempt-Id: 1\r\n\r\n"
+_VALID_HEAD = b"GET /a/b?c HTTP/1.1\r\nHost: x\r\nX-Attempt-Id: 1\r\n\r\n"
 
 
 def head(*lines, start=b"POST / HTTP/1.1"):
-    """Return a request head with a host."""
+    """Return a request head with a Host header and further header lines."""
     return b"\r\n".join([start, b"Host: x", *lines]) + b"\r\n\r\n"
 
 
 class TestCheckHead:
-    """Heads that two parsers may read differently."""
+    """Validation of request heads."""
 
-    def test_proper_head_passes(self):
-        """A usual request is accepted."""
-        http1.check_head(_GOOD)
+    def test_valid_head_is_accepted(self):
+        """A valid head raises no error."""
+        http1.check_head(_VALID_HEAD)
 
     @pytest.mark.parametrize(
-        "bad",
+        "invalid_head",
         [
             head(b"Content-Length: 3", b"Content-Length: 4"),
             head(b"Content-Length: 3", b"Content-Length: 3"),
@@ -43,18 +43,18 @@
             head(start=b"GET /"),
         ],
     )
-    def test_ambiguous_heads_are_refused(self, bad):
-        """Two lengths, odd line ends and folded lines get 400."""
+    def test_ambiguous_head_is_rejected(self, invalid_head):
+        """A head that two parsers may read differently, or a malformed one, gets status 400."""
         with pytest.raises(http1.HeadError) as caught:
-            http1.check_head(bad)
+            http1.check_head(invalid_head)
         assert caught.value.status == 400
 
 
-class TestEndToEnd:
-    """Headers that go on."""
+class TestEndToEndHeaders:
+    """Removal of hop-by-hop headers."""
 
-    def test_connection_headers_stay_behind(self):
-        """What the connection header names concerns one connection only."""
+    def test_hop_by_hop_headers_are_removed(self):
+        """Hop-by-hop headers and those that the Connection header names are removed."""
         headers = (
             (b"Connection", b"close, X-Mine"),
             (b"X-Mine", b"1"),
@@ -64,20 +64,20 @@
         assert http1.end_to_end(headers) == ((b"X-Other", b"2"),)
 
 
-class TestEncodeAnswer:
-    """Answers as they are written."""
+class TestEncodeResponse:
+    """Serialization of responses."""
 
-    def test_headers_pass_unchanged_and_none_is_added(self):
-        """Spelling and order stay; only the length is told anew."""
-        answer = http1.Answer(200, b"Fine", ((b"X-a", b"1"), (b"server", b"s")), b"body")
-        octets = http1.encode_answer(answer, with_body=True, closing=False)
-        assert octets == (
+    def test_headers_are_unchanged_except_for_the_length(self):
+        """Headers keep their spelling and order; only Content-Length is added."""
+        response = http1.Answer(200, b"Fine", ((b"X-a", b"1"), (b"server", b"s")), b"body")
+        encoded = http1.encode_answer(response, with_body=True, closing=False)
+        assert encoded == (
             b"HTTP/1.1 200 Fine\r\nX-a: 1\r\nserver: s\r\nContent-Length: 4\r\n\r\nbody"
         )
 
-    def test_answer_to_head_keeps_the_length_it_tells(self):
-        """No body follows, and the length is that of the body that GET would bring."""
-        answer = http1.Answer(200, b"OK", ((b"Content-Length", b"99"),), b"")
-        octets = http1.encode_answer(answer, with_body=False, closing=True)
-        assert b"Content-Length: 99\r\n" in octets
-        assert octets.endswith(b"Connection: close\r\n\r\n")
+    def test_response_to_head_request_keeps_its_content_length(self):
+        """No body is sent, and Content-Length stays that of the response to a GET request."""
+        response = http1.Answer(200, b"OK", ((b"Content-Length", b"99"),), b"")
+        encoded = http1.encode_answer(response, with_body=False, closing=True)
+        assert b"Content-Length: 99\r\n" in encoded
+        assert encoded.endswith(b"Connection: close\r\n\r\n")
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -1,4 +1,4 @@
-"""Tests of the operators' language."""
+"""Tests of carobhook.protocol.language."""
 
 import pathlib
 import re
@@ -14,17 +14,17 @@
 
 
 class TestPage:
-    """The reference page."""
+    """The examples in the reference page of the language."""
 
     @pytest.mark.parametrize("text", EXAMPLES)
     def test_every_example_parses(self, text):
-        """An example is a statement, and so is its dry run if it is a command."""
+        """Each example parses, and so does the dry run of each command."""
         statement = language.parse(text)
         if isinstance(statement, statements.Command):
             assert language.parse(f"plan {text}") == statements.DryRun(statement)
 
     def test_every_statement_has_an_example(self):
-        """No statement and nothing that can be shown is left out."""
+        """Each type of statement and each table of ``show`` has an example."""
         parsed = [language.parse(text) for text in EXAMPLES]
         expected = {*typing.get_args(statements.Statement)}
         assert {type(statement) for statement in parsed} == expected
@@ -33,30 +33,30 @@
 
 
 class TestParse:
-    """Typed values of statements."""
+    """Statements that a text is parsed to."""
 
-    def test_a_shift_with_all_its_parts(self):
-        """Share, own cap and rank of a shift are kept."""
+    def test_shift_with_all_optional_clauses(self):
+        """A shift keeps its share, emergency cap and rank."""
         text = "shift licences from addis to kigali by 20% emergency cap 5% per 10s for rank 2"
-        own = statements.OwnCap(orders.Cap(0.05, 10.0), emergency=True)
+        cap = statements.OwnCap(orders.Cap(0.05, 10.0), emergency=True)
         assert language.parse(text) == statements.Shift(
-            "licences", "addis", "kigali", 0.2, own, 2
+            "licences", "addis", "kigali", 0.2, cap, 2
         )
 
-    def test_a_scheduled_drain(self):
-        """Times of day are seconds."""
+    def test_scheduled_drain(self):
+        """Times of day become seconds since midnight."""
         assert language.parse("drain region addis at 14:00 until 18:30") == statements.Drain(
             orders.DrainKind.REGION, "addis", None, 14 * 3600, 18 * 3600 + 1800
         )
 
-    def test_keywords_may_be_names(self):
-        """A region may be called what a word of the language is."""
+    def test_keywords_are_valid_names(self):
+        """Services and regions may have names that are also keywords."""
         parsed = language.parse("shift show from region to server by 1%")
         assert (parsed.service, parsed.source, parsed.target) == ("show", "region", "server")
 
 
-class TestFaults:
-    """What does not parse."""
+class TestSyntaxErrors:
+    """Texts that do not parse."""
 
     @pytest.mark.parametrize(
         ("text", "column", "word", "hint"),
@@ -72,15 +72,15 @@
             ("", 1, "", "the order ends too early"),
         ],
     )
-    def test_a_fault_points_at_the_word(self, text, column, word, hint):
-        """The error has the column, the word and what was expected."""
+    def test_error_reports_column_word_and_expectation(self, text, column, word, hint):
+        """The error has the column and the word, and its text names the expected words."""
         with pytest.raises(language.SyntaxFaultError, match=re.escape(hint)) as caught:
             language.parse(text)
         assert (caught.value.column, caught.value.word) == (column, word)
 
 
-class TestCompletion:
-    """Words that may follow."""
+class TestCompletions:
+    """Words that may follow an incomplete statement."""
 
     @pytest.mark.parametrize(
         ("text", "expected"),
@@ -90,6 +90,6 @@
             ("no such thing", ()),
         ],
     )
-    def test_words_after_a_beginning(self, text, expected):
-        """The beginning of an order tells what may come next."""
+    def test_words_after_incomplete_statement(self, text, expected):
+        """The valid next words are returned, and none after an invalid beginning."""
         assert language.expected_after(text) == expected
