--- a/src/carobhook/protocol/framing.py
+++ b/src/carobhook/protocol/framing.py
@@ -1,57 +1,65 @@
-"""Compact msgpack frames of typed messages: a name, then the fields in their order."""
+"""Encodes typed messages as msgpack frames: a pair of the type tag and the field values.
+
+Fields are identified by their position, so their order and number are part of the protocol.
+"""
 
 import enum
 import functools
 import types
 import typing
-from collections.abc import Callable, Iterable
+from collections.abc import Callable, Mapping
 
 import attrs
 import msgpack
 
 MAX_FRAME_OCTETS = 16 * 1024 * 1024
-# The unpacker takes this much at once when it is made; it grows when a frame needs more.
-_READ_OCTETS = 4 * 1024
+# Initial buffer of each unpacker; it grows when a frame needs more.
+_INITIAL_BUFFER_BYTES = 4 * 1024
 
-_Convert = Callable[[typing.Any], typing.Any]
+_Decoder = Callable[[typing.Any], typing.Any]
 
 
 class CodecError(Exception):
-    """Octets or values do not decode to a known type."""
+    """A frame does not decode to a known message type."""
 
 
 def unpacker(limit: int = MAX_FRAME_OCTETS) -> msgpack.Unpacker:
-    """Return a stream unpacker that holds at most so many octets."""
+    """Return an unpacker for a stream of frames.
+
+    Args:
+        limit: Largest number of bytes that it buffers, and so the largest frame.
+    """
     return msgpack.Unpacker(
-        max_buffer_size=limit, read_size=min(limit, _READ_OCTETS), use_list=True
+        max_buffer_size=limit, read_size=min(limit, _INITIAL_BUFFER_BYTES), use_list=True
     )
 
 
 class MessageCodec:
     """Encodes and decodes messages of the given types.
 
-    Fields may be of plain types, enums, other attrs classes, tuples and frozen sets of such,
-    and each of these or None.
+    A field may have a plain type, an enum, an attrs class, a tuple or a frozen set of these, or
+    any of them or None. Enums are encoded by their member names.
 
     Args:
-        types_: attrs classes of the messages.
+        types_: attrs classes of the messages by type tag.
     """
 
-    def __init__(self, types_: Iterable[type]) -> None:
-        self._types = {cls.__name__: cls for cls in types_}
+    def __init__(self, types_: Mapping[str, type]) -> None:
+        self._types = dict(types_)
+        self._tags = {cls: tag for tag, cls in types_.items()}
 
     def encode(self, message: typing.Any) -> bytes:
         """Return the frame of a message."""
-        return msgpack.packb([type(message).__name__, _plain(message)])
+        return msgpack.packb([self._tags[type(message)], _encode_value(message)])
 
     def decode(self, frame: object) -> typing.Any:
-        """Return the message of an unpacked frame.
+        """Return the message that an unpacked frame encodes.
 
         Args:
-            frame: A list of the type's name and the fields.
+            frame: List of the type tag and the list of field values.
 
         Raises:
-            CodecError: The frame is of no known type or its fields are wrong.
+            CodecError: The frame has no known type tag or its fields are invalid.
         """
         if not isinstance(frame, list) or len(frame) != 2 or not isinstance(frame[0], str):
             raise CodecError("frame must be a pair of type and fields")
@@ -59,77 +67,83 @@
         if cls is None:
             raise CodecError(f"type must be a known message, got {frame[0]!r}")
         try:
-            return _reader(cls)(frame[1])
+            return _decoder(cls)(frame[1])
         except (TypeError, ValueError, KeyError) as error:
             raise CodecError(f"fields of {frame[0]} are wrong: {error}") from error
 
     def unpacker(self, limit: int = MAX_FRAME_OCTETS) -> msgpack.Unpacker:
-        """Return a stream unpacker that holds at most so many octets."""
+        """Return an unpacker for a stream of frames.
+
+        Args:
+            limit: Largest number of bytes that it buffers, and so the largest frame.
+        """
         return unpacker(limit)
 
 
-def _plain(value: typing.Any) -> typing.Any:
+def _encode_value(value: typing.Any) -> typing.Any:
     cls: typing.Any = type(value)
     if attrs.has(cls):
-        return [_plain(getattr(value, name)) for name in _names(cls)]
+        return [_encode_value(getattr(value, name)) for name in _field_names(cls)]
     if isinstance(value, enum.Enum):
         return value.name
     if isinstance(value, (tuple, list, frozenset)):
-        return [_plain(item) for item in value]
+        return [_encode_value(item) for item in value]
     return value
 
 
 @functools.cache
-def _names(cls: type) -> tuple[str, ...]:
+def _field_names(cls: type) -> tuple[str, ...]:
     return tuple(field.name for field in attrs.fields(cls))
 
 
 @functools.cache
-def _reader(kind: typing.Any) -> _Convert:
-    """Return what makes a value of a type from its plain form."""
-    while hasattr(kind, "__supertype__"):
-        kind = kind.__supertype__
-    if attrs.has(kind):
-        return _attrs_reader(kind)
-    if isinstance(kind, type) and issubclass(kind, enum.Enum):
-        return kind.__getitem__
-    origin, arguments = typing.get_origin(kind), typing.get_args(kind)
+def _decoder(type_: typing.Any) -> _Decoder:
+    """Return a function that decodes values of a type."""
+    while hasattr(type_, "__supertype__"):
+        type_ = type_.__supertype__
+    if attrs.has(type_):
+        return _attrs_decoder(type_)
+    if isinstance(type_, type) and issubclass(type_, enum.Enum):
+        return type_.__getitem__
+    origin, arguments = typing.get_origin(type_), typing.get_args(type_)
     if origin in (typing.Union, types.UnionType):
-        inner = _reader(next(part for part in arguments if part is not type(None)))
+        inner = _decoder(next(part for part in arguments if part is not type(None)))
         return lambda plain: None if plain is None else inner(plain)
     if origin in (tuple, frozenset):
-        return _many_reader(origin, arguments)
-    return _checked(kind)
+        return _collection_decoder(origin, arguments)
+    return _scalar_decoder(type_)
 
 
-def _attrs_reader(kind: typing.Any) -> _Convert:
-    hints = typing.get_type_hints(kind)
-    readers = [_reader(hints[name]) for name in _names(kind)]
+def _attrs_decoder(type_: typing.Any) -> _Decoder:
+    hints = typing.get_type_hints(type_)
+    decoders = [_decoder(hints[name]) for name in _field_names(type_)]
 
-    def read(plain: typing.Any) -> typing.Any:
-        if not isinstance(plain, list) or len(plain) != len(readers):
-            raise ValueError(f"{kind.__name__} must have {len(readers)} fields")
-        return kind(*(convert(item) for convert, item in zip(readers, plain, strict=True)))
+    def decode(plain: typing.Any) -> typing.Any:
+        if not isinstance(plain, list) or len(plain) != len(decoders):
+            raise ValueError(f"{type_.__name__} must have {len(decoders)} fields")
+        return type_(
+            *(decode_item(item) for decode_item, item in zip(decoders, plain, strict=True))
+        )
 
-    return read
+    return decode
 
 
-def _many_reader(origin: typing.Any, arguments: tuple[typing.Any, ...]) -> _Convert:
+def _collection_decoder(origin: typing.Any, arguments: tuple[typing.Any, ...]) -> _Decoder:
     if origin is tuple and (len(arguments) != 2 or arguments[1] is not Ellipsis):
-        readers = [_reader(argument) for argument in arguments]
+        decoders = [_decoder(argument) for argument in arguments]
         return lambda plain: tuple(
-            convert(item) for convert, item in zip(readers, plain, strict=True)
+            decode_item(item) for decode_item, item in zip(decoders, plain, strict=True)
         )
-    inner = _reader(arguments[0])
+    inner = _decoder(arguments[0])
     return lambda plain: origin(inner(item) for item in plain)
 
 
-def _checked(kind: typing.Any) -> _Convert:
-    def read(plain: typing.Any) -> typing.Any:
-        if kind is float and isinstance(plain, int) and not isinstance(plain, bool):
+def _scalar_decoder(type_: typing.Any) -> _Decoder:
+    def decode(plain: typing.Any) -> typing.Any:
+        if type_ is float and isinstance(plain, int) and not isinstance(plain, bool):
             return float(plain)
-        if not isinstance(plain, kind):
-            raise ValueError(f"expected {kind.__name__}, got {plain!r:.40}")
+        if not isinstance(plain, type_):
+            raise ValueError(f"expected {type_.__name__}, got {plain!r:.40}")
         return plain
 
-    return read
+    return decode
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -1,26 +1,53 @@
-"""Tests of carobhook.protocol.framing and the messages that it carries."""
+"""Tests of carobhook.protocol.framing and carobhook.protocol.peer_codec."""
 
 import hypothesis
 import msgpack
 import pytest
 from hypothesis import strategies as st
 
-from carobhook.protocol import framing, peer_codec, slot_messages
+from carobhook.protocol import feed_messages, framing, greetings, peer_codec, slot_messages
 from carobhook.state import asks, ids
 
+# Type tag, class and number of fields of each message.
+MESSAGES = [
+    ("Challenge", greetings.Challenge, 1),
+    ("Hello", greetings.Hello, 3),
+    ("Heartbeat", greetings.Heartbeat, 1),
+    ("Alive", greetings.Alive, 0),
+    ("RosterTold", greetings.RosterTold, 3),
+    ("StreamUnneeded", greetings.StreamUnneeded, 0),
+    ("SlotAsked", slot_messages.SlotAsked, 12),
+    ("SlotAskWithdrawn", slot_messages.SlotAskWithdrawn, 3),
+    ("SlotGranted", slot_messages.SlotGranted, 1),
+    ("SlotRefused", slot_messages.SlotRefused, 4),
+    ("SlotMoved", slot_messages.SlotMoved, 1),
+    ("SlotEnded", slot_messages.SlotEnded, 5),
+    ("SlotsWanted", slot_messages.SlotsWanted, 2),
+    ("SlotsHeld", slot_messages.SlotsHeld, 3),
+    ("RegionReport", slot_messages.RegionReport, 7),
+    ("LoadsWanted", slot_messages.LoadsWanted, 1),
+    ("LoadsTold", slot_messages.LoadsTold, 2),
+    ("RequestMarked", slot_messages.RequestMarked, 4),
+    ("RequestCleared", slot_messages.RequestCleared, 1),
+    ("FeedWanted", feed_messages.FeedWanted, 0),
+    ("FeedSnapshot", feed_messages.FeedSnapshot, 3),
+    ("FeedEvents", feed_messages.FeedEvents, 4),
+    ("FeedFresh", feed_messages.FeedFresh, 1),
+]
+
 
 def round_trip(message):
-    """Return a message after its way over a stream."""
+    """Return a message after encoding and decoding it."""
     unpacker = peer_codec.CODEC.unpacker()
     unpacker.feed(peer_codec.CODEC.encode(message))
     return peer_codec.CODEC.decode(next(unpacker))
 
 
 class TestMessageCodec:
-    """Frames of typed messages."""
+    """Encoding and decoding of messages."""
 
     def test_message_with_nested_values(self):
-        """Enums, sets and values inside values come back as they were."""
+        """Enums and nested values survive encoding and decoding."""
         message = slot_messages.SlotEnded(
             ids.RequestId("1"),
             ids.Region("r"),
@@ -33,19 +60,34 @@
     @pytest.mark.parametrize(
         "frame", [None, [], ["Nothing", []], ["SlotMoved", []], ["SlotMoved", [7]], ["Alive"]]
     )
-    def test_what_is_no_message_is_refused(self, frame):
-        """A frame of another shape raises the codec's own error."""
+    def test_invalid_frame_raises_codec_error(self, frame):
+        """A frame with an unknown tag or with invalid fields raises CodecError."""
         with pytest.raises(framing.CodecError):
             peer_codec.CODEC.decode(frame)
 
     @hypothesis.given(st.binary(max_size=200))
-    def test_any_octets(self, octets):
-        """Garbage never raises anything else."""
+    def test_arbitrary_bytes_raise_only_codec_error(self, data):
+        """Arbitrary data from a peer raises no error other than CodecError."""
         try:
-            frame = msgpack.unpackb(octets, strict_map_key=False)
+            frame = msgpack.unpackb(data, strict_map_key=False)
         except Exception:
             return
         try:
             peer_codec.CODEC.decode(frame)
         except framing.CodecError:
             return
+
+
+class TestTypeTags:
+    """Type tags and field counts, on which instances of different versions must agree."""
+
+    def test_every_type_is_listed(self):
+        """The codec knows exactly the listed types under the listed tags."""
+        assert {tag: type_ for tag, type_, _ in MESSAGES} == peer_codec.MESSAGE_TYPES
+
+    @pytest.mark.parametrize(("tag", "type_", "field_count"), MESSAGES)
+    def test_frame_has_tag_and_fields(self, tag, type_, field_count):
+        """A frame consists of the type tag and one value for each field."""
+        values = [None] * field_count
+        frame = msgpack.unpackb(peer_codec.CODEC.encode(type_(*values)))
+        assert frame == [tag, values]
