--- a/src/carobhook/coordination/dispatcher.py
+++ b/src/carobhook/coordination/dispatcher.py
@@ -11,9 +11,9 @@
 import attrs
 
 from carobhook.coordination import retry_allowance, server_pool, work_times
-from carobhook.state import asks, codes, ids
+from carobhook.state import allocation, codes, ids
 
-Decision = asks.SlotGrant | asks.SlotRefusal
+Decision = allocation.SlotGrant | allocation.SlotRefusal
 
 # Share of the time between an answer's work and its target that may be spent waiting. A shorter
 # queue serves as many in time, and leaves room for errors of the expectation.
@@ -47,7 +47,7 @@
 class _Waiting:
     """An ask that waits for a slot."""
 
-    ask: asks.Ask
+    ask: allocation.SlotRequest
     since: float
     guess_s: float
     late: bool
@@ -87,7 +87,7 @@
         demand, self._demand_s = self._demand_s, 0.0
         return demand
 
-    def ask(self, ask: asks.Ask, now: float) -> list[Decision]:
+    def ask(self, ask: allocation.SlotRequest, now: float) -> list[Decision]:
         """Take in an ask; return what is decided now.
 
         Args:
@@ -117,20 +117,24 @@
                 return True
         return False
 
-    def take_waiting(self) -> list[asks.Ask]:
+    def take_waiting(self) -> list[allocation.SlotRequest]:
         """Give up all asks that wait."""
         given_up = [waiting.ask for waiting in self._waiting]
         self._waiting.clear()
         return given_up
 
-    def hold(self, ask: asks.Ask, server: ids.Server, now: float) -> None:
+    def hold(self, ask: allocation.SlotRequest, server: ids.Server, now: float) -> None:
         """Count a request that another dispatcher granted before this one took over."""
         pooled = self.pool.get(server)
         if pooled is not None and ask.id not in pooled.running:
             pooled.start(ask, self._guess(ask) * pooled.slowness(now), now)
 
     def ended(
-        self, ask_id: ids.RequestId, server: ids.Server, end: asks.WorkEnd, now: float
+        self,
+        ask_id: ids.RequestId,
+        server: ids.Server,
+        end: allocation.AttemptOutcome,
+        now: float,
     ) -> list[Decision]:
         """Take back a slot; return what is decided now.
 
@@ -144,7 +148,7 @@
         run = pooled.running.pop(ask_id, None) if pooled is not None else None
         if pooled is not None and run is not None:
             foreseen = self._times.seen(run.route, run.depth)
-            if end is asks.WorkEnd.ANSWERED:
+            if end is allocation.AttemptOutcome.ANSWERED:
                 elapsed_s = now - run.started_at
                 self._times.observe(run.route, run.depth, elapsed_s / pooled.slowness(now))
             pooled.ended(run, end, now, foreseen)
@@ -187,7 +191,7 @@
         self._waiting = kept
         return decisions
 
-    def _guess(self, ask: asks.Ask) -> float:
+    def _guess(self, ask: allocation.SlotRequest) -> float:
         """Return the work time to expect at the server that knows the object best."""
         key = work_times.object_key(ask.route, ask.object_key)
         depth: int | None = None
@@ -197,7 +201,9 @@
             depth = min(known) if known else None
         return self._times.expected(ask.route, depth, _UNKNOWN_WORK_S)
 
-    def _refuse_on_arrival(self, waiting: _Waiting, now: float) -> asks.SlotRefusal | None:
+    def _refuse_on_arrival(
+        self, waiting: _Waiting, now: float
+    ) -> allocation.SlotRefusal | None:
         """Refuse what the queue ahead lets have no chance."""
         ask = waiting.ask
         usable = [s for s in self.pool.servers if _allowed(s, ask)]
@@ -290,7 +296,7 @@
 
     def _option(
         self,
-        ask: asks.Ask,
+        ask: allocation.SlotRequest,
         server: server_pool.PooledServer,
         key: str | None,
         now: float,
@@ -313,22 +319,26 @@
         """Return how much worse than a healthy one a server is, in seconds, roughly."""
         return (server.slowness(now) - 1.0) + server.failure_share * _FAILURE_PENALTY
 
-    def _grant(self, waiting: _Waiting, option: _Option, now: float) -> asks.SlotGrant:
+    def _grant(self, waiting: _Waiting, option: _Option, now: float) -> allocation.SlotGrant:
         ask = waiting.ask
         server = option.server
         server.start(ask, option.work_s, now)
         key = work_times.object_key(ask.route, ask.object_key)
         if key is not None:
             self.pool.touched(server, key)
-        return asks.SlotGrant(ask.id, server.name, server.view.entry.address, option.work_s)
+        return allocation.SlotGrant(
+            ask.id, server.name, server.view.entry.address, option.work_s
+        )
 
-    def _refusal(self, ask: asks.Ask, code: codes.Code, now: float) -> asks.SlotRefusal:
+    def _refusal(
+        self, ask: allocation.SlotRequest, code: codes.Code, now: float
+    ) -> allocation.SlotRefusal:
         slots = max(1, self.pool.slots)
         backlog_s = sum(waiting.guess_s for waiting in self._waiting) / slots
         retry_after_s = min(_LONGEST_RETRY_AFTER_S, max(_SHORTEST_RETRY_AFTER_S, backlog_s))
-        return asks.SlotRefusal(ask.id, code, retry_after_s, self._describe(ask, now))
+        return allocation.SlotRefusal(ask.id, code, retry_after_s, self._describe(ask, now))
 
-    def _describe(self, ask: asks.Ask, now: float) -> str:
+    def _describe(self, ask: allocation.SlotRequest, now: float) -> str:
         """Return what a refusal was decided from."""
         return (
             f"running={self.pool.running}/{self.pool.slots} waiting={len(self._waiting)} "
@@ -337,7 +347,7 @@
         )
 
 
-def _allowed(server: server_pool.PooledServer, ask: asks.Ask) -> bool:
+def _allowed(server: server_pool.PooledServer, ask: allocation.SlotRequest) -> bool:
     if server.name in ask.avoided:
         return False
     return not ask.homes or server.region in ask.homes
--- a/src/carobhook/coordination/intake.py
+++ b/src/carobhook/coordination/intake.py
@@ -3,7 +3,7 @@
 import attrs
 
 from carobhook.coordination import refusals, smooth_choice, steering
-from carobhook.protocol import own_calls
+from carobhook.protocol import client_api
 from carobhook.state import codes, ids, routing
 
 # Time that a client waits if it does not say; the route's timeout binds besides.
@@ -94,7 +94,7 @@
     def place_call(
         self,
         config: routing.RoutingConfig | None,
-        call: own_calls.ServiceCall,
+        call: client_api.ServiceCall,
         began_at: float,
     ) -> Placed | refusals.Refusal:
         """Return where a request to a service goes, or why it is refused.
@@ -118,9 +118,9 @@
             timeout_s=left_s,
             target_s=left_s * _TARGET_SHARE,
             priority=call.priority,
-            shares=(routing.Share(call.service, 1),),
+            weighted_services=(routing.WeightedService(call.service, 1),),
             max_attempts=_CALL_ATTEMPTS,
-            keeps_objects=False,
+            object_affinity=False,
         )
         target_at = began_at + route.target_s
         deadline_at = began_at + left_s - _CLIENT_MARGIN_S
@@ -131,10 +131,10 @@
 
         The choice is smooth: over any few requests each service gets its part.
         """
-        if len(route.shares) == 1:
-            return route.shares[0].service
+        if len(route.weighted_services) == 1:
+            return route.weighted_services[0].service
         weights: dict[ids.Service, float] = {}
-        for share in route.shares:
+        for share in route.weighted_services:
             weights[share.service] = weights.get(share.service, 0.0) + share.weight
         return self._choice.choose(route.name, weights)
 
@@ -158,7 +158,7 @@
         return min(route.homes)
 
 
-def _idempotency(call: own_calls.ServiceCall) -> routing.Idempotency:
+def _idempotency(call: client_api.ServiceCall) -> routing.Idempotency:
     if call.repeatable:
         return routing.Idempotency.REPEATABLE
     return routing.Idempotency.ONCE
--- a/src/carobhook/coordination/order_store.py
+++ b/src/carobhook/coordination/order_store.py
@@ -28,7 +28,7 @@
         command: statements.Command,
         context: ordering.OrderContext,
         base: ids.Version | None,
-    ) -> orders.OrderBook:
+    ) -> orders.OrderState:
         """Accept a command; return the orders that are in force with it.
 
         An order whose id is known already is the same order, and changes nothing more.
@@ -68,21 +68,21 @@
         text = f"other orders came first {_ATTEMPTS} times"
         raise ordering.OrderFault(codes.Code.ORDER_CONFLICT, text)
 
-    async def _read(self) -> tuple[orders.OrderBook, int | None]:
+    async def _read(self) -> tuple[orders.OrderState, int | None]:
         held = await self._store.get(orders.STORE_KIND, orders.STORE_NAME)
         if held is None:
-            return orders.OrderBook(), None
-        return order_codec.book(held.value), held.version
+            return orders.OrderState(), None
+        return order_codec.decode(held.value), held.version
 
-    async def _write(self, book: orders.OrderBook, revision: int | None) -> None:
-        plain = order_codec.plain(book)
+    async def _write(self, book: orders.OrderState, revision: int | None) -> None:
+        plain = order_codec.encode(book)
         if revision is None:
             await self._store.create(orders.STORE_KIND, orders.STORE_NAME, plain)
         else:
             await self._store.update(orders.STORE_KIND, orders.STORE_NAME, plain, revision)
 
 
-def _check_base(book: orders.OrderBook, base: ids.Version | None) -> None:
+def _check_base(book: orders.OrderState, base: ids.Version | None) -> None:
     if base is None or base >= book.version:
         return
     last = book.changes[-1]
--- a/src/carobhook/coordination/order_tables.py
+++ b/src/carobhook/coordination/order_tables.py
@@ -194,7 +194,7 @@
     return Answer(codes.Code.QUERY_OK, text, version, columns, tuple(rows))
 
 
-def _drained(book: orders.OrderBook, wall: float) -> set[str]:
+def _drained(book: orders.OrderState, wall: float) -> set[str]:
     """Return the names of all that is drained, or will be."""
     return {drain.name for drain in book.drains if ordering.is_open(drain, wall)}
 
@@ -210,7 +210,7 @@
 
 
 def _demand_then(
-    book: orders.OrderBook,
+    book: orders.OrderState,
     service: ids.Service,
     loads: Sequence[slot_messages.ShardLoad],
     wall: float,
@@ -226,7 +226,7 @@
 
 
 def _duration_text(
-    command: statements.Command, book: orders.OrderBook, context: ordering.OrderContext
+    command: statements.Command, book: orders.OrderState, context: ordering.OrderContext
 ) -> str:
     made = [move for move in book.moves if move.order == context.order]
     if not made:
@@ -292,7 +292,8 @@
 def _routes(view: View) -> tuple[tuple[str, ...], list[Row]]:
     columns = ("route", "host", "prefix", "services", "rank", "target s", "timeout s", "homes")
     return columns, [
-        (r.name, r.host, r.prefix, " ".join(f"{s.service}:{s.weight:g}" for s in r.shares),
+        (r.name, r.host, r.prefix,
+         " ".join(f"{s.service}:{s.weight:g}" for s in r.weighted_services),
          view.orders.priority(r.name, r.priority), r.target_s, r.timeout_s,
          " ".join(sorted(r.homes)))
         for r in view.routes
--- a/src/carobhook/coordination/ordering.py
+++ b/src/carobhook/coordination/ordering.py
@@ -68,8 +68,8 @@
 
 
 def apply(
-    command: statements.Command, book: orders.OrderBook, context: OrderContext
-) -> orders.OrderBook:
+    command: statements.Command, book: orders.OrderState, context: OrderContext
+) -> orders.OrderState:
     """Return the orders in force after a command.
 
     Args:
@@ -102,7 +102,7 @@
     return order.span.ends_at is None or order.span.ends_at > wall
 
 
-def _is_over(order: orders.Move, book: orders.OrderBook, wall: float) -> bool:
+def _is_over(order: orders.Move, book: orders.OrderState, wall: float) -> bool:
     """Tell whether an order has ended, and what it moved has been back for a while."""
     goal = order.share if isinstance(order, orders.Shift) else 1.0
     ends_at, then = order.span.ends_at, wall - _RETURNED_KEPT_S
@@ -112,14 +112,16 @@
 
 
 @functools.singledispatch
-def _apply(command: object, book: orders.OrderBook, context: OrderContext) -> orders.OrderBook:
+def _apply(
+    command: object, book: orders.OrderState, context: OrderContext
+) -> orders.OrderState:
     raise TypeError(f"command must be a command, got {command!r:.60}")
 
 
 @_apply.register
 def _(
-    command: statements.Shift, book: orders.OrderBook, context: OrderContext
-) -> orders.OrderBook:
+    command: statements.Shift, book: orders.OrderState, context: OrderContext
+) -> orders.OrderState:
     known = context.known
     _check(command.service, known.services, "service")
     for region in (command.source, command.target):
@@ -145,7 +147,7 @@
         command.target,
         command.share,
         orders.Span(context.wall),
-        _own_cap(command.own_cap, book.caps.get(command.service, book.cap)),
+        _own_cap(command.cap_override, book.caps.get(command.service, book.cap)),
         command.priority,
     )
     return attrs.evolve(book, shifts=(*book.shifts, shift))
@@ -153,8 +155,8 @@
 
 @_apply.register
 def _(
-    command: statements.Drain, book: orders.OrderBook, context: OrderContext
-) -> orders.OrderBook:
+    command: statements.Drain, book: orders.OrderState, context: OrderContext
+) -> orders.OrderState:
     _check_subject(command.kind, command.name, context.known)
     begins_at = _next_time(command.starts, context.wall)
     ends_at = None if command.ends is None else _next_time(command.ends, begins_at)
@@ -164,7 +166,7 @@
         command.kind,
         command.name,
         orders.Span(begins_at, ends_at),
-        _own_cap(command.own_cap, book.cap),
+        _own_cap(command.cap_override, book.cap),
     )
     _check_some_left(drain, book, context)
     return attrs.evolve(book, drains=(*book.drains, drain))
@@ -172,8 +174,8 @@
 
 @_apply.register
 def _(
-    command: statements.Undrain, book: orders.OrderBook, context: OrderContext
-) -> orders.OrderBook:
+    command: statements.Undrain, book: orders.OrderState, context: OrderContext
+) -> orders.OrderState:
     subject = (command.kind, command.name)
     if not any((d.kind, d.name) == subject and is_open(d, context.wall) for d in book.drains):
         text = f"{command.kind.value} {command.name} is not drained"
@@ -186,8 +188,8 @@
 
 @_apply.register
 def _(
-    command: statements.SetCap, book: orders.OrderBook, context: OrderContext
-) -> orders.OrderBook:
+    command: statements.SetCap, book: orders.OrderState, context: OrderContext
+) -> orders.OrderState:
     if command.cap.share <= 0:
         raise OrderFault(
             codes.Code.ORDER_INVALID, "a cap of 0% would let nothing move or return"
@@ -200,8 +202,8 @@
 
 @_apply.register
 def _(
-    command: statements.SetRank, book: orders.OrderBook, context: OrderContext
-) -> orders.OrderBook:
+    command: statements.SetRank, book: orders.OrderState, context: OrderContext
+) -> orders.OrderState:
     priorities = dict(book.priorities)
     if command.priority is None:
         _check(command.route, priorities, "route with a rank of its own")
@@ -214,8 +216,8 @@
 
 @_apply.register
 def _(
-    command: statements.Cancel, book: orders.OrderBook, context: OrderContext
-) -> orders.OrderBook:
+    command: statements.Cancel, book: orders.OrderState, context: OrderContext
+) -> orders.OrderState:
     found = [held.order for held in book.moves if is_open(held, context.wall)]
     _check(command.order, found, "order that is under way")
     return attrs.evolve(
@@ -237,7 +239,7 @@
     return attrs.evolve(order, span=orders.Span(order.span.begins_at, now))
 
 
-def _own_cap(own: statements.OwnCap | None, general: orders.Cap) -> orders.Cap | None:
+def _own_cap(own: statements.CapOverride | None, general: orders.Cap) -> orders.Cap | None:
     """Return the cap of an order, None for the general one."""
     if own is None:
         return None
@@ -271,7 +273,7 @@
 
 
 def _check_some_left(
-    drain: orders.Drain, book: orders.OrderBook, context: OrderContext
+    drain: orders.Drain, book: orders.OrderState, context: OrderContext
 ) -> None:
     """Refuse a drain that would leave no failure domain to serve."""
     drains = (*(d for d in book.drains if is_open(d, context.wall)), drain)
--- a/src/carobhook/coordination/refusals.py
+++ b/src/carobhook/coordination/refusals.py
@@ -32,6 +32,6 @@
         status = self.code.value.http_status
         if self.may_have_run:
             return 502 if status in NOT_RUN_STATUSES else status
-        if status in _SILENT_STATUSES and self.code.run is codes.Run.NOT_RUN:
+        if status in _SILENT_STATUSES and self.code.run is codes.RunStatus.NOT_RUN:
             return 503
         return status
--- a/src/carobhook/coordination/rosters.py
+++ b/src/carobhook/coordination/rosters.py
@@ -10,7 +10,7 @@
 import attrs
 
 from carobhook.coordination import membership
-from carobhook.protocol import greetings
+from carobhook.protocol import membership_messages
 from carobhook.state import ids, members
 
 # Streams to instances that fell silent are tried again this long, as a cut may heal.
@@ -50,7 +50,7 @@
         self._take(member, now)
 
     def told(
-        self, sender: ids.InstanceId, message: greetings.RosterTold, now: float
+        self, sender: ids.InstanceId, message: membership_messages.RosterUpdate, now: float
     ) -> list[ids.InstanceId]:
         """Take in what a relay knows; return the instances that are gone by that.
 
@@ -167,7 +167,7 @@
         found.pop(self.own, None)
         return sorted(member.peers for member in found.values())
 
-    def reports(self, now: float) -> Mapping[ids.InstanceId, greetings.RosterTold]:
+    def reports(self, now: float) -> Mapping[ids.InstanceId, membership_messages.RosterUpdate]:
         """Return what this instance tells others as a relay; nothing if it is none.
 
         Args:
@@ -178,7 +178,7 @@
         if self.own not in own_relays:
             return {}
         direct = [m for m in live if m.region == self.region and self._speaks_for(m, now)]
-        found: dict[ids.InstanceId, greetings.RosterTold] = {}
+        found: dict[ids.InstanceId, membership_messages.RosterUpdate] = {}
         for member in live:
             if member.region == self.region and member.name not in own_relays:
                 found[member.name] = self._report(member.name, live)
@@ -193,7 +193,7 @@
 
     def _report(
         self, receiver: ids.InstanceId, live: Iterable[members.Member]
-    ) -> greetings.RosterTold:
+    ) -> membership_messages.RosterUpdate:
         """Return what has changed since the last message to an instance."""
         is_whole = receiver not in self._told
         told = self._told.setdefault(receiver, {})
@@ -203,7 +203,7 @@
         for name in lost:
             del told[name]
         told.update((member.name, member) for member in news)
-        return greetings.RosterTold(news, lost, is_whole)
+        return membership_messages.RosterUpdate(news, lost, is_whole)
 
     def _take(self, member: members.Member, now: float) -> None:
         self.table.heard(member, now)
--- a/src/carobhook/coordination/server_pool.py
+++ b/src/carobhook/coordination/server_pool.py
@@ -6,7 +6,7 @@
 import attrs
 
 from carobhook.coordination import catalog, token_bucket, work_times
-from carobhook.state import asks, ids
+from carobhook.state import allocation, ids
 
 # A server that broke connections is tried again after this, doubled with each further failure.
 _FIRST_PAUSE_S = 0.4
@@ -153,7 +153,7 @@
         ends = [run.started_at + run.expected_s - now for run in self.running.values()]
         return max(0.005, min(ends)) if ends else 0.0
 
-    def start(self, ask: asks.Ask, expected_s: float, now: float) -> int | None:
+    def start(self, ask: allocation.SlotRequest, expected_s: float, now: float) -> int | None:
         """Give a slot to a request; return the depth that its object had."""
         key = work_times.object_key(ask.route, ask.object_key)
         depth = None
@@ -165,7 +165,9 @@
             self.cold_bucket.take(now)
         return depth
 
-    def ended(self, run: Running, end: asks.WorkEnd, now: float, foreseen: bool = True) -> None:
+    def ended(
+        self, run: Running, end: allocation.AttemptOutcome, now: float, foreseen: bool = True
+    ) -> None:
         """Learn from the end of a request.
 
         Args:
@@ -174,27 +176,27 @@
             now: Monotonic time in seconds.
             foreseen: Whether its expected time rests on times that were observed.
         """
-        if end is asks.WorkEnd.CANCELLED:
+        if end is allocation.AttemptOutcome.CANCELLED:
             return
-        if end in (asks.WorkEnd.UNREACHABLE, asks.WorkEnd.BROKEN):
+        if end in (allocation.AttemptOutcome.UNREACHABLE, allocation.AttemptOutcome.BROKEN):
             # Failures of requests that ran side by side count as one.
             if run.started_at >= self._paused_until or self._failures == 0:
                 self._failures += 1
                 pause_s = min(_LONGEST_PAUSE_S, _FIRST_PAUSE_S * 2.0 ** (self._failures - 1))
                 self._paused_until = now + pause_s
-            if end is asks.WorkEnd.UNREACHABLE:
+            if end is allocation.AttemptOutcome.UNREACHABLE:
                 self.objects.clear()
             return
         self._failures = 0
-        if end is asks.WorkEnd.MISDIRECTED:
+        if end is allocation.AttemptOutcome.MISDIRECTED:
             self._paused_until = now + _LONGEST_PAUSE_S
             return
-        if end is asks.WorkEnd.SHED:
+        if end is allocation.AttemptOutcome.SHED:
             self._paused_until = now + _SHED_PAUSE_S
             self._blame(1.0)
             return
-        self._blame(1.0 if end is asks.WorkEnd.FAILED else 0.0)
-        if end is asks.WorkEnd.ANSWERED and foreseen and run.expected_s > 0:
+        self._blame(1.0 if end is allocation.AttemptOutcome.FAILED else 0.0)
+        if end is allocation.AttemptOutcome.ANSWERED and foreseen and run.expected_s > 0:
             elapsed_s = now - run.started_at
             ratio = elapsed_s * run.slowness / run.expected_s
             low, high = _SLOWNESS_RANGE
--- a/src/carobhook/coordination/steering.py
+++ b/src/carobhook/coordination/steering.py
@@ -19,7 +19,7 @@
     """
 
     regions: Mapping[ids.FailureDomain, ids.Region]
-    _book: orders.OrderBook = attrs.field(factory=orders.OrderBook, init=False)
+    _book: orders.OrderState = attrs.field(factory=orders.OrderState, init=False)
     _shares: dict[ids.OrderId, float] = attrs.field(factory=dict, init=False)
     _moved: dict[tuple[ids.Region, ids.Service], paces.MovedShares] = attrs.field(
         factory=dict, init=False
@@ -30,11 +30,11 @@
     )
 
     @property
-    def book(self) -> orders.OrderBook:
+    def book(self) -> orders.OrderState:
         """Return the orders in force."""
         return self._book
 
-    def offer(self, book: orders.OrderBook) -> bool:
+    def offer(self, book: orders.OrderState) -> bool:
         """Take orders if they are newer than those in force; tell whether they were."""
         if book.version <= self._book.version:
             return False
--- a/src/carobhook/emulator/policies.py
+++ b/src/carobhook/emulator/policies.py
@@ -7,7 +7,7 @@
 
 from carobhook.coordination import catalog, dispatcher, retry_allowance, server_pool
 from carobhook.emulator import model
-from carobhook.state import asks, ids, servers
+from carobhook.state import allocation, ids, servers
 
 _SERVICE = ids.Service("svc")
 _REGION = ids.Region("here")
@@ -61,7 +61,7 @@
 
     def arrive(self, request: model.Request, now: float) -> list[Decision]:
         """Ask the dispatcher for a slot."""
-        ask = asks.Ask(
+        ask = allocation.SlotRequest(
             ids.RequestId(str(request.number)),
             _SERVICE,
             request.kind.name,
@@ -76,7 +76,7 @@
     def ended(self, request: model.Request, server: model.Server, now: float) -> list[Decision]:
         """Give the slot back."""
         ask_id = ids.RequestId(str(request.number))
-        end = asks.WorkEnd.ANSWERED
+        end = allocation.AttemptOutcome.ANSWERED
         return self._decisions(self._one.ended(ask_id, ids.Server(server.name), end, now))
 
     def tick(self, now: float) -> list[Decision]:
@@ -87,7 +87,7 @@
         found: list[Decision] = []
         for one in decided:
             request = self._requests.pop(one.ask_id)
-            if isinstance(one, asks.SlotGrant):
+            if isinstance(one, allocation.SlotGrant):
                 found.append(Placed(request, self._servers[one.server]))
             else:
                 found.append(Refused(request))
--- a/src/carobhook/platform/objects.py
+++ b/src/carobhook/platform/objects.py
@@ -92,11 +92,11 @@
 def _route(plain: typing.Any) -> routing.Route:
     if plain.get("TrafficSplit"):
         shares = tuple(
-            routing.Share(ids.Service(_field(part, "Service", str)), part["Weight"])
+            routing.WeightedService(ids.Service(_field(part, "Service", str)), part["Weight"])
             for part in plain["TrafficSplit"]
         )
     else:
-        shares = (routing.Share(ids.Service(_field(plain, "Service", str)), 1),)
+        shares = (routing.WeightedService(ids.Service(_field(plain, "Service", str)), 1),)
     kind = _field(plain, "Kind", str)
     return routing.Route(
         name=_field(plain, "Name", str),
@@ -107,9 +107,9 @@
         timeout_s=durations.seconds(plain["Timeout"]),
         target_s=durations.seconds(plain["TargetLatency"]),
         priority=int(plain.get("Priority", 0)),
-        shares=shares,
+        weighted_services=shares,
         max_attempts=max(1, int(plain.get("MaxAttempts", 1))),
-        keeps_objects=bool(plain.get("SessionAffinity", False)),
+        object_affinity=bool(plain.get("SessionAffinity", False)),
         homes=frozenset(ids.Region(home) for home in plain.get("HomeRegions") or ()),
     )
 
@@ -120,7 +120,7 @@
         health_path=_field(plain, "HealthPath", str),
         max_connections=int(plain.get("MaxConnections", 1024)),
         cold_start_s=durations.seconds(plain.get("ColdStart", "0s")),
-        cold_per_s=float(plain.get("ColdPerS", 0.0)),
+        cold_requests_per_s=float(plain.get("ColdPerS", 0.0)),
     )
 
 
--- a/src/carobhook/platform/requests.py
+++ b/src/carobhook/platform/requests.py
@@ -3,8 +3,8 @@
 import json
 
 from carobhook.platform import names
-from carobhook.protocol import http1, own_calls
-from carobhook.state import asks, ids
+from carobhook.protocol import client_api, http1
+from carobhook.state import allocation, ids
 from carobhook.transport import client_connections
 
 _LONGEST_MS = 24 * 3600 * 1000
@@ -29,7 +29,7 @@
     Raises:
         ValueError: The header is no number.
     """
-    return http1.told_s(head, names.TIME_LEFT_MS, _LONGEST_MS)
+    return http1.header_seconds(head, names.TIME_LEFT_MS, _LONGEST_MS)
 
 
 class ServerWire:
@@ -47,7 +47,7 @@
         """
         headers = [
             (name, value)
-            for name, value in http1.end_to_end(head.headers)
+            for name, value in http1.end_to_end_headers(head.headers)
             if name.lower() not in _DROPPED
         ]
         left_ms = max(1, int(time_left_s * 1000))
@@ -55,7 +55,7 @@
         headers.append((names.EXPECTED_SERVER.encode(), server.encode()))
         return http1.RequestHead(head.method, head.target, tuple(headers))
 
-    def belongs(self, answer: http1.Answer, client_id: str | None) -> bool:
+    def belongs(self, answer: http1.Response, client_id: str | None) -> bool:
         """Tell whether an answer is one to a client's attempt; without an id it is.
 
         Args:
@@ -65,18 +65,18 @@
         echoed = answer.get(names.REQUEST_ID)
         return echoed is None or client_id is None or echoed == client_id
 
-    def work_end(self, answer: http1.Answer) -> asks.WorkEnd:
+    def work_end(self, answer: http1.Response) -> allocation.AttemptOutcome:
         """Return what an answer says of its server."""
         if answer.status == 421:
-            return asks.WorkEnd.MISDIRECTED
+            return allocation.AttemptOutcome.MISDIRECTED
         if answer.get(names.NOT_EXECUTED) is not None:
-            return asks.WorkEnd.SHED
+            return allocation.AttemptOutcome.SHED
         if answer.status >= 500:
-            return asks.WorkEnd.FAILED
-        return asks.WorkEnd.ANSWERED
+            return allocation.AttemptOutcome.FAILED
+        return allocation.AttemptOutcome.ANSWERED
 
 
-def directory_query(target: bytes) -> own_calls.Lookup | None:
+def directory_query(target: bytes) -> client_api.Lookup | None:
     """Return what a client that asks where to connect says of itself.
 
     Args:
@@ -89,12 +89,12 @@
     if path != names.RESOLVE_PATH:
         return None
     fields = dict(part.partition("=")[::2] for part in query.split("&") if part)
-    return own_calls.Lookup(
+    return client_api.Lookup(
         ids.Region(fields.get("Region", "")), ids.FailureDomain(fields.get("Zone", ""))
     )
 
 
-def directory_answer(addresses: list[str], ttl_s: float) -> http1.Answer:
+def directory_answer(addresses: list[str], ttl_s: float) -> http1.Response:
     """Return the answer that tells a client where to connect.
 
     Args:
@@ -105,4 +105,4 @@
         return client_connections.own_answer(503)
     plain = {"Addresses": addresses, "Ttl": f"{round(ttl_s * 1000)}ms"}
     headers = ((b"Content-Type", b"application/json"),)
-    return http1.Answer(200, b"OK", headers, json.dumps(plain).encode())
+    return http1.Response(200, b"OK", headers, json.dumps(plain).encode())
--- a/src/carobhook/platform/store.py
+++ b/src/carobhook/platform/store.py
@@ -130,7 +130,7 @@
         """Close all idle connections."""
         self._connections.stop()
 
-    async def _read(self, path: str, timeout_s: float) -> http1.Answer:
+    async def _read(self, path: str, timeout_s: float) -> http1.Response:
         try:
             answer = await self._call(b"GET", path, None, timeout_s)
         except (server_connections.ExchangeError, TimeoutError) as problem:
@@ -163,7 +163,7 @@
 
     async def _call(
         self, method: bytes, path: str, plain: typing.Any, timeout_s: float
-    ) -> http1.Answer:
+    ) -> http1.Response:
         """Make one call.
 
         Raises:
@@ -212,7 +212,7 @@
     return path if name is None else f"{path}/{urllib.parse.quote(name, safe='')}"
 
 
-def _body(answer: http1.Answer) -> typing.Any:
+def _body(answer: http1.Response) -> typing.Any:
     """Return the decoded body of an answer.
 
     Raises:
--- a/src/carobhook/protocol/own_calls.py
+++ b/src/carobhook/protocol/client_api.py
@@ -54,7 +54,7 @@
     time_left_s: float | None
 
 
-def lookup(target: bytes) -> Lookup | None:
+def parse_lookup(target: bytes) -> Lookup | None:
     """Return the look-up that a request target encodes, None for any other target."""
     path, _, query = target.decode("latin-1").partition("?")
     if path != LOOKUP_PATH:
@@ -66,7 +66,7 @@
     )
 
 
-def lookup_answer(addresses: list[str], ttl_s: float) -> http1.Answer:
+def lookup_response(addresses: list[str], ttl_s: float) -> http1.Response:
     """Return the response to a look-up; its status is 503 if there is no address.
 
     Args:
@@ -76,10 +76,10 @@
     fields = {"addresses": addresses, "ttl_s": ttl_s}
     headers = ((b"Content-Type", b"application/json"),)
     status, reason = (200, b"OK") if addresses else (503, b"Service Unavailable")
-    return http1.Answer(status, reason, headers, json.dumps(fields).encode() + b"\n")
+    return http1.Response(status, reason, headers, json.dumps(fields).encode() + b"\n")
 
 
-def service_call(head: http1.RequestHead) -> ServiceCall | None:
+def parse_service_call(head: http1.RequestHead) -> ServiceCall | None:
     """Return the service call that a request encodes, None if its target names no service.
 
     Args:
@@ -97,7 +97,7 @@
         attrs.evolve(head, target=f"{slash or '/'}{rest}".encode("latin-1")),
         head.method in _REPEATABLE_METHODS,
         int(head.get(_RANK_HEADER) or _DEFAULT_RANK),
-        http1.told_s(head, _DEADLINE_HEADER, _MAX_DEADLINE_MS),
+        http1.header_seconds(head, _DEADLINE_HEADER, _MAX_DEADLINE_MS),
     )
 
 
@@ -108,7 +108,7 @@
         code: Result code.
         may_have_run: Whether a server may have run the request, whatever the code says.
     """
-    run = codes.Run.UNKNOWN if may_have_run else code.run
+    run = codes.RunStatus.UNKNOWN if may_have_run else code.run
     return (
         (b"Carobhook-Code", str(code.number).encode()),
         (b"Carobhook-Run", run.value.encode()),
--- a/src/carobhook/protocol/feed_messages.py
+++ b/src/carobhook/protocol/feed_messages.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen
-class FeedWanted:
+class FeedRequest:
     """Subscribes to the feed of an instance that watches the store.
 
     The receiver answers with a `FeedSnapshot` of each kind and then sends changes. It ignores
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class FedObject:
+class FeedObject:
     """Object of the store, as the feed carries it.
 
     Attributes:
@@ -44,7 +44,7 @@
 
     kind: str
     revision: int
-    items: tuple[FedObject, ...]
+    items: tuple[FeedObject, ...]
 
 
 @attrs.frozen
@@ -62,11 +62,11 @@
     kind: str
     since: int
     revision: int
-    items: tuple[FedObject, ...]
+    items: tuple[FeedObject, ...]
 
 
 @attrs.frozen
-class FeedFresh:
+class FeedProgress:
     """Confirms that the store answers the sender, and which revisions the sender has forwarded.
 
     Attributes:
@@ -76,9 +76,9 @@
     revisions: tuple[tuple[str, int], ...]
 
 
-def revisions_of(by_kind: dict[str, int]) -> tuple[tuple[str, int], ...]:
+def revision_pairs(by_kind: dict[str, int]) -> tuple[tuple[str, int], ...]:
     """Return revisions by kind as the sorted pairs of a message."""
     return tuple(sorted(by_kind.items()))
 
 
-Message = FeedWanted | FeedSnapshot | FeedEvents | FeedFresh
+Message = FeedRequest | FeedSnapshot | FeedEvents | FeedProgress
--- a/src/carobhook/protocol/framing.py
+++ b/src/carobhook/protocol/framing.py
@@ -12,7 +12,7 @@
 import attrs
 import msgpack
 
-MAX_FRAME_OCTETS = 16 * 1024 * 1024
+MAX_FRAME_BYTES = 16 * 1024 * 1024
 # Initial buffer of each unpacker; it grows when a frame needs more.
 _INITIAL_BUFFER_BYTES = 4 * 1024
 
@@ -23,7 +23,7 @@
     """A frame does not decode to a known message type."""
 
 
-def unpacker(limit: int = MAX_FRAME_OCTETS) -> msgpack.Unpacker:
+def unpacker(limit: int = MAX_FRAME_BYTES) -> msgpack.Unpacker:
     """Return an unpacker for a stream of frames.
 
     Args:
@@ -71,7 +71,7 @@
         except (TypeError, ValueError, KeyError) as error:
             raise CodecError(f"fields of {frame[0]} are wrong: {error}") from error
 
-    def unpacker(self, limit: int = MAX_FRAME_OCTETS) -> msgpack.Unpacker:
+    def unpacker(self, limit: int = MAX_FRAME_BYTES) -> msgpack.Unpacker:
         """Return an unpacker for a stream of frames.
 
         Args:
--- a/src/carobhook/protocol/http1.py
+++ b/src/carobhook/protocol/http1.py
@@ -75,7 +75,7 @@
 
 
 @attrs.frozen
-class Answer:
+class Response:
     """Complete HTTP response.
 
     Attributes:
@@ -150,7 +150,7 @@
     return int(head.get("content-length") or 0)
 
 
-def told_s(head: RequestHead, name: str, max_ms: float) -> float | None:
+def header_seconds(head: RequestHead, name: str, max_ms: float) -> float | None:
     """Return the value in seconds of a header in milliseconds, None without the header.
 
     Args:
@@ -166,7 +166,7 @@
     return None if text is None else min(max_ms, max(0.0, float(text))) / 1000
 
 
-def end_to_end(headers: typing.Iterable[tuple[bytes, bytes]]) -> Headers:
+def end_to_end_headers(headers: typing.Iterable[tuple[bytes, bytes]]) -> Headers:
     """Return headers without the hop-by-hop headers, in their original spelling.
 
     Hop-by-hop headers concern only one connection: those in `_HOP_BY_HOP`, and those that a
@@ -183,17 +183,17 @@
     return tuple((name, value) for name, value in all_headers if name.lower() not in dropped)
 
 
-def server_side() -> h11.Connection:
+def request_parser() -> h11.Connection:
     """Return a parser for one client request."""
     return h11.Connection(h11.SERVER, max_incomplete_event_size=_H11_BUFFER_BYTES)
 
 
-def client_side() -> h11.Connection:
+def response_parser() -> h11.Connection:
     """Return a parser for one server response."""
     return h11.Connection(h11.CLIENT, max_incomplete_event_size=_H11_BUFFER_BYTES)
 
 
-def encode_answer(response: Answer, with_body: bool, closing: bool) -> bytes:
+def encode_response(response: Response, with_body: bool, closing: bool) -> bytes:
     """Return the bytes of a response, with a Content-Length header in place of chunks.
 
     Args:
--- a/src/carobhook/protocol/language.py
+++ b/src/carobhook/protocol/language.py
@@ -20,7 +20,7 @@
 }
 
 
-class SyntaxFaultError(Exception):
+class StatementSyntaxError(Exception):
     """A statement has a syntax error.
 
     Attributes:
@@ -76,21 +76,21 @@
 
     def share(self, number: lark.Token) -> float:
         if float(number) > 100:
-            raise SyntaxFaultError(number.column or 1, number, ("a share of at most 100%",))
+            raise StatementSyntaxError(number.column or 1, number, ("a share of at most 100%",))
         return float(number) / 100
 
     def duration(self, number: lark.Token) -> float:
         if not float(number) > 0:
-            raise SyntaxFaultError(number.column or 1, number, ("a time above 0 s",))
+            raise StatementSyntaxError(number.column or 1, number, ("a time above 0 s",))
         return float(number)
 
-    def cap(self, share: float, window_s: float) -> statements.OwnCap:
-        return statements.OwnCap(orders.Cap(share, window_s))
+    def cap(self, share: float, window_s: float) -> statements.CapOverride:
+        return statements.CapOverride(orders.Cap(share, window_s))
 
-    def emergency_cap(self, share: float, window_s: float) -> statements.OwnCap:
-        return statements.OwnCap(orders.Cap(share, window_s), emergency=True)
+    def emergency_cap(self, share: float, window_s: float) -> statements.CapOverride:
+        return statements.CapOverride(orders.Cap(share, window_s), emergency=True)
 
-    def cap_override(self, cap: statements.OwnCap) -> statements.OwnCap:
+    def cap_override(self, cap: statements.CapOverride) -> statements.CapOverride:
         return cap
 
     def for_rank(self, rank: str) -> int:
@@ -102,7 +102,7 @@
         source: str,
         target: str,
         share: float,
-        cap_override: statements.OwnCap | None,
+        cap_override: statements.CapOverride | None,
         priority: int | None,
     ) -> statements.Shift:
         return statements.Shift(
@@ -122,7 +122,7 @@
         target: tuple[orders.DrainKind, str],
         starts: str | None,
         ends: str | None,
-        cap_override: statements.OwnCap | None,
+        cap_override: statements.CapOverride | None,
     ) -> statements.Drain:
         return statements.Drain(
             *target,
@@ -168,7 +168,7 @@
         text: One query, command or dry run.
 
     Raises:
-        SyntaxFaultError: The text has a syntax error.
+        StatementSyntaxError: The text has a syntax error.
     """
     try:
         return _Builder().transform(_parser.parse(text))
@@ -178,7 +178,7 @@
         raise _syntax_error(text, error) from error
 
 
-def expected_after(text: str) -> tuple[str, ...]:
+def completions(text: str) -> tuple[str, ...]:
     """Return the words that may follow the first words of a statement.
 
     Args:
@@ -192,16 +192,16 @@
         return ()
 
 
-def _syntax_error(text: str, error: lark.exceptions.UnexpectedInput) -> SyntaxFaultError:
+def _syntax_error(text: str, error: lark.exceptions.UnexpectedInput) -> StatementSyntaxError:
     names = getattr(error, "accepts", None) or getattr(error, "expected", None)
     names = names or getattr(error, "allowed", None) or ()
     start = error.pos_in_stream
     token = getattr(error, "token", None)
     if start is None or (token is not None and token.type == "$END"):
         start = len(text.rstrip())
-        return SyntaxFaultError(start + 1, "", _expected_words(names))
+        return StatementSyntaxError(start + 1, "", _expected_words(names))
     words = text[start:].split()
-    return SyntaxFaultError(start + 1, words[0] if words else "", _expected_words(names))
+    return StatementSyntaxError(start + 1, words[0] if words else "", _expected_words(names))
 
 
 def _expected_words(names: typing.Iterable[str]) -> tuple[str, ...]:
--- a/src/carobhook/protocol/greetings.py
+++ b/src/carobhook/protocol/membership_messages.py
@@ -43,12 +43,12 @@
 
 
 @attrs.frozen
-class StreamUnneeded:
+class StreamClosing:
     """Announces that the sender closes a stream it no longer needs, and is still live."""
 
 
 @attrs.frozen
-class RosterTold:
+class RosterUpdate:
     """Updates the receiver's roster, which is the set of live instances that the sender knows.
 
     A relay sends only changes since its previous update. An instance that an update listed
@@ -66,5 +66,5 @@
 
 
 @attrs.frozen
-class Alive:
+class HeartbeatAck:
     """Acknowledges a heartbeat on its connection, so that its sender detects a dead stream."""
--- a/src/carobhook/protocol/order_codec.py
+++ b/src/carobhook/protocol/order_codec.py
@@ -18,12 +18,12 @@
     return cattrs.preconf.json.make_converter()
 
 
-def plain(state: orders.OrderBook) -> typing.Any:
+def encode(state: orders.OrderState) -> typing.Any:
     """Return the JSON value of orders."""
     return _converter().unstructure(state)
 
 
-def book(value: typing.Any) -> orders.OrderBook:
+def decode(value: typing.Any) -> orders.OrderState:
     """Return the orders that a stored JSON value encodes.
 
     Args:
@@ -35,7 +35,7 @@
     if not isinstance(value, dict):
         raise MalformedOrdersError(f"orders must be a table, got {value!r:.60}")
     try:
-        return _converter().structure(value, orders.OrderBook)
+        return _converter().structure(value, orders.OrderState)
     except Exception as problem:
         # cattrs raises exception groups, which may contain any exception of the fields' types.
         raise MalformedOrdersError(f"orders cannot be read: {problem!r:.200}") from problem
--- a/src/carobhook/protocol/peer_codec.py
+++ b/src/carobhook/protocol/peer_codec.py
@@ -4,32 +4,32 @@
 change, so a class whose name differs from its tag was renamed later.
 """
 
-from carobhook.protocol import feed_messages, framing, greetings, slot_messages
+from carobhook.protocol import feed_messages, framing, membership_messages, slot_messages
 
 MESSAGE_TYPES: dict[str, type] = {
-    "Challenge": greetings.Challenge,
-    "Hello": greetings.Hello,
-    "Heartbeat": greetings.Heartbeat,
-    "Alive": greetings.Alive,
-    "RosterTold": greetings.RosterTold,
-    "StreamUnneeded": greetings.StreamUnneeded,
-    "SlotAsked": slot_messages.SlotAsked,
-    "SlotAskWithdrawn": slot_messages.SlotAskWithdrawn,
+    "Challenge": membership_messages.Challenge,
+    "Hello": membership_messages.Hello,
+    "Heartbeat": membership_messages.Heartbeat,
+    "Alive": membership_messages.HeartbeatAck,
+    "RosterTold": membership_messages.RosterUpdate,
+    "StreamUnneeded": membership_messages.StreamClosing,
+    "SlotAsked": slot_messages.SlotRequested,
+    "SlotAskWithdrawn": slot_messages.SlotRequestWithdrawn,
     "SlotGranted": slot_messages.SlotGranted,
     "SlotRefused": slot_messages.SlotRefused,
-    "SlotMoved": slot_messages.SlotMoved,
-    "SlotEnded": slot_messages.SlotEnded,
-    "SlotsWanted": slot_messages.SlotsWanted,
-    "SlotsHeld": slot_messages.SlotsHeld,
+    "SlotMoved": slot_messages.NotDispatcher,
+    "SlotEnded": slot_messages.SlotReleased,
+    "SlotsWanted": slot_messages.HeldSlotsQuery,
+    "SlotsHeld": slot_messages.HeldSlotsReport,
     "RegionReport": slot_messages.RegionReport,
-    "LoadsWanted": slot_messages.LoadsWanted,
-    "LoadsTold": slot_messages.LoadsTold,
+    "LoadsWanted": slot_messages.LoadQuery,
+    "LoadsTold": slot_messages.LoadReport,
     "RequestMarked": slot_messages.RequestMarked,
     "RequestCleared": slot_messages.RequestCleared,
-    "FeedWanted": feed_messages.FeedWanted,
+    "FeedWanted": feed_messages.FeedRequest,
     "FeedSnapshot": feed_messages.FeedSnapshot,
     "FeedEvents": feed_messages.FeedEvents,
-    "FeedFresh": feed_messages.FeedFresh,
+    "FeedFresh": feed_messages.FeedProgress,
 }
 
 CODEC = framing.MessageCodec(MESSAGE_TYPES)
--- a/src/carobhook/protocol/slot_messages.py
+++ b/src/carobhook/protocol/slot_messages.py
@@ -7,11 +7,11 @@
 
 import attrs
 
-from carobhook.state import asks, ids
+from carobhook.state import allocation, ids
 
 
 @attrs.frozen
-class SlotAsked:
+class SlotRequested:
     """Asks the dispatcher of a shard for a slot.
 
     Attributes:
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class SlotAskWithdrawn:
+class SlotRequestWithdrawn:
     """Withdraws a slot request, or returns its slot if the grant is already on its way.
 
     Attributes:
@@ -66,7 +66,7 @@
         grant: The granted slot.
     """
 
-    grant: asks.SlotGrant
+    grant: allocation.SlotGrant
 
 
 @attrs.frozen
@@ -87,7 +87,7 @@
 
 
 @attrs.frozen
-class SlotMoved:
+class NotDispatcher:
     """Answers a slot request of which the sender is not, or no longer, the dispatcher.
 
     Attributes:
@@ -98,7 +98,7 @@
 
 
 @attrs.frozen
-class SlotEnded:
+class SlotReleased:
     """Returns a slot to the dispatcher and reports the outcome of the request.
 
     Attributes:
@@ -113,12 +113,12 @@
     region: ids.Region
     service: ids.Service
     server: ids.Server
-    end: asks.WorkEnd
+    end: allocation.AttemptOutcome
 
 
 @attrs.frozen
-class SlotsWanted:
-    """Asks an instance which slots of a shard its requests hold; answered by `SlotsHeld`.
+class HeldSlotsQuery:
+    """Asks an instance which slots of a shard its requests hold; answered by `HeldSlotsReport`.
 
     Attributes:
         region: Region of the shard.
@@ -147,7 +147,7 @@
 
 
 @attrs.frozen
-class SlotsHeld:
+class HeldSlotsReport:
     """Tells a new dispatcher of a shard which slots the sender's requests hold.
 
     Attributes:
@@ -215,7 +215,7 @@
 
 
 @attrs.frozen
-class LoadsWanted:
+class LoadQuery:
     """Asks an instance for the load of the shards of which it is the dispatcher.
 
     Attributes:
@@ -226,8 +226,8 @@
 
 
 @attrs.frozen
-class LoadsTold:
-    """Answers `LoadsWanted`.
+class LoadReport:
+    """Answers `LoadQuery`.
 
     Attributes:
         id: Id of the query.
--- a/src/carobhook/standins/platform_client.py
+++ b/src/carobhook/standins/platform_client.py
@@ -204,7 +204,7 @@
 
     async def _exchange(
         self, address: str, head: http1.RequestHead, timeout_s: float
-    ) -> http1.Answer:
+    ) -> http1.Response:
         """Return the answer to a request.
 
         Raises:
--- a/src/carobhook/standins/platform_server.py
+++ b/src/carobhook/standins/platform_server.py
@@ -15,7 +15,7 @@
 _MAX_CONNECTIONS = 256
 _MAX_HELD_OCTETS = 64 * 1024 * 1024
 
-Answer = Callable[[http1.Answer], None]
+Answer = Callable[[http1.Response], None]
 
 
 @attrs.define
@@ -157,7 +157,7 @@
         status: int,
         body: bytes,
         headers: tuple[tuple[bytes, bytes], ...] = (),
-    ) -> http1.Answer:
+    ) -> http1.Response:
         request_id = (head.get(names.REQUEST_ID) or "").encode()
         told = (
             (names.REQUEST_ID.encode(), request_id),
@@ -165,4 +165,4 @@
             (b"Server", b"standin"),
             *headers,
         )
-        return http1.Answer(status, b"Status", told, body)
+        return http1.Response(status, b"Status", told, body)
--- a/src/carobhook/standins/platform_store.py
+++ b/src/carobhook/standins/platform_store.py
@@ -20,7 +20,7 @@
 _MAX_HELD_OCTETS = 64 * 1024 * 1024
 _PAGE = 50
 
-Answer = Callable[[http1.Answer], None]
+Answer = Callable[[http1.Response], None]
 
 
 class Mode:
@@ -222,6 +222,6 @@
     return {"Metadata": meta, "Spec": value.get("Spec"), "Status": value.get("Status")}
 
 
-def _json(plain: typing.Any) -> http1.Answer:
+def _json(plain: typing.Any) -> http1.Response:
     headers = ((b"Content-Type", b"application/json"),)
-    return http1.Answer(200, b"OK", headers, json.dumps(plain).encode())
+    return http1.Response(200, b"OK", headers, json.dumps(plain).encode())
--- a/src/carobhook/state/asks.py
+++ b/src/carobhook/state/allocation.py
@@ -11,7 +11,7 @@
 from carobhook.state import codes, ids
 
 
-class WorkEnd(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """Outcome of sending a request to a backend server once.
 
     ANSWERED: The server sent a complete response that does not report a server failure.
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen
-class Ask:
+class SlotRequest:
     """Asks a dispatcher for a slot in which to run one request.
 
     Attributes:
--- a/src/carobhook/state/codes.py
+++ b/src/carobhook/state/codes.py
@@ -5,7 +5,7 @@
 import attrs
 
 
-class Run(enum.Enum):
+class RunStatus(enum.Enum):
     """Whether a request or order was executed, as far as its result code can tell."""
 
     RAN = "ran"
@@ -28,7 +28,7 @@
 
     number: int
     http_status: int
-    run: Run
+    run: RunStatus
     retry: bool
     text: str
 
@@ -36,79 +36,119 @@
 class Code(enum.Enum):
     """All result codes of carobhook."""
 
-    OK = CodeInfo(1000, 200, Run.RAN, False, "The request ran and its whole answer was sent.")
-    BAD_REQUEST = CodeInfo(1002, 400, Run.NOT_RUN, False, "The request is malformed.")
+    OK = CodeInfo(
+        1000, 200, RunStatus.RAN, False, "The request ran and its whole answer was sent."
+    )
+    BAD_REQUEST = CodeInfo(1002, 400, RunStatus.NOT_RUN, False, "The request is malformed.")
     NO_BACKEND = CodeInfo(
-        1010, 503, Run.NOT_RUN, True, "No backend server can take the request."
+        1010, 503, RunStatus.NOT_RUN, True, "No backend server can take the request."
     )
     DEADLINE_UNMEETABLE = CodeInfo(
-        1012, 503, Run.NOT_RUN, True, "The request could not have finished before its deadline."
+        1012,
+        503,
+        RunStatus.NOT_RUN,
+        True,
+        "The request could not have finished before its deadline.",
     )
     DEADLINE_PASSED_QUEUED = CodeInfo(
-        1013, 504, Run.NOT_RUN, True, "The deadline passed while the request was queued."
+        1013, 504, RunStatus.NOT_RUN, True, "The deadline passed while the request was queued."
     )
     BACKEND_SHED = CodeInfo(
-        1014, 503, Run.NOT_RUN, True, "The backend server shed the request."
+        1014, 503, RunStatus.NOT_RUN, True, "The backend server shed the request."
     )
     CALLER_GONE = CodeInfo(
-        1019, 408, Run.NOT_RUN, True, "The caller went away while the request was queued."
+        1019, 408, RunStatus.NOT_RUN, True, "The caller went away while the request was queued."
+    )
+    NO_CONFIG = CodeInfo(
+        1051, 503, RunStatus.NOT_RUN, True, "The instance has no configuration yet."
     )
-    NO_CONFIG = CodeInfo(1051, 503, Run.NOT_RUN, True, "The instance has no configuration yet.")
     RETRIES_USED_UP = CodeInfo(
         1052,
         503,
-        Run.NOT_RUN,
+        RunStatus.NOT_RUN,
         True,
         "Too many requests of the service were sent again lately.",
     )
     DISPATCHER_SILENT = CodeInfo(
-        1053, 503, Run.NOT_RUN, True, "The instance that gives out the slots did not answer."
+        1053,
+        503,
+        RunStatus.NOT_RUN,
+        True,
+        "The instance that gives out the slots did not answer.",
     )
-    NO_ROUTE = CodeInfo(1054, 404, Run.NOT_RUN, False, "No route serves the request.")
+    NO_ROUTE = CodeInfo(1054, 404, RunStatus.NOT_RUN, False, "No route serves the request.")
     BACKEND_LOST = CodeInfo(
         1020,
         502,
-        Run.UNKNOWN,
+        RunStatus.UNKNOWN,
         False,
         "The backend server's connection broke during the request.",
     )
     DEADLINE_PASSED_RUNNING = CodeInfo(
-        1021, 504, Run.UNKNOWN, False, "The deadline passed while the request was running."
+        1021,
+        504,
+        RunStatus.UNKNOWN,
+        False,
+        "The deadline passed while the request was running.",
     )
     POISONED = CodeInfo(
-        1030, 503, Run.NOT_RUN, False, "The request is quarantined: it broke backend servers."
+        1030,
+        503,
+        RunStatus.NOT_RUN,
+        False,
+        "The request is quarantined: it broke backend servers.",
     )
 
-    ORDER_IN_FORCE = CodeInfo(2000, 200, Run.RAN, False, "The order is in force everywhere.")
+    ORDER_IN_FORCE = CodeInfo(
+        2000, 200, RunStatus.RAN, False, "The order is in force everywhere."
+    )
     ORDER_ACCEPTED = CodeInfo(
-        2001, 200, Run.RAN, False, "The order is accepted and taking effect."
+        2001, 200, RunStatus.RAN, False, "The order is accepted and taking effect."
     )
-    QUERY_OK = CodeInfo(2002, 200, Run.RAN, False, "The query was answered.")
-    ORDER_SYNTAX = CodeInfo(2010, 400, Run.NOT_RUN, False, "The order cannot be parsed.")
+    QUERY_OK = CodeInfo(2002, 200, RunStatus.RAN, False, "The query was answered.")
+    ORDER_SYNTAX = CodeInfo(2010, 400, RunStatus.NOT_RUN, False, "The order cannot be parsed.")
     ORDER_INVALID = CodeInfo(
-        2011, 400, Run.NOT_RUN, False, "The order names something invalid."
+        2011, 400, RunStatus.NOT_RUN, False, "The order names something invalid."
     )
     ORDER_CONFLICT = CodeInfo(
-        2012, 409, Run.NOT_RUN, True, "Another order was accepted first; nothing was changed."
+        2012,
+        409,
+        RunStatus.NOT_RUN,
+        True,
+        "Another order was accepted first; nothing was changed.",
     )
     ORDER_STORE_DOWN = CodeInfo(
-        2013, 503, Run.NOT_RUN, True, "The object API cannot be reached; nothing was changed."
+        2013,
+        503,
+        RunStatus.NOT_RUN,
+        True,
+        "The object API cannot be reached; nothing was changed.",
     )
     ORDER_UNKNOWN = CodeInfo(
-        2014, 503, Run.UNKNOWN, True, "Whether the order was accepted is not known yet."
+        2014, 503, RunStatus.UNKNOWN, True, "Whether the order was accepted is not known yet."
+    )
+    ORDER_OVER_CAP = CodeInfo(
+        2015, 409, RunStatus.NOT_RUN, False, "The order would exceed the cap."
     )
-    ORDER_OVER_CAP = CodeInfo(2015, 409, Run.NOT_RUN, False, "The order would exceed the cap.")
     ORDER_OVERLOAD = CodeInfo(
-        2016, 409, Run.NOT_RUN, False, "The order would overload a region."
+        2016, 409, RunStatus.NOT_RUN, False, "The order would overload a region."
+    )
+    ORDER_FORBIDDEN = CodeInfo(
+        2017, 403, RunStatus.NOT_RUN, False, "The token does not allow this."
     )
-    ORDER_FORBIDDEN = CodeInfo(2017, 403, Run.NOT_RUN, False, "The token does not allow this.")
     ORDER_UNAUTHENTICATED = CodeInfo(
-        2018, 401, Run.NOT_RUN, False, "The token is missing or wrong."
+        2018, 401, RunStatus.NOT_RUN, False, "The token is missing or wrong."
     )
 
-    SETTINGS_INVALID = CodeInfo(3001, 400, Run.NOT_RUN, False, "The settings have faults.")
-    ADDRESS_IN_USE = CodeInfo(3002, 500, Run.NOT_RUN, False, "An address is already in use.")
-    DAEMON_UNREACHABLE = CodeInfo(3004, 503, Run.NOT_RUN, True, "The daemon cannot be reached.")
+    SETTINGS_INVALID = CodeInfo(
+        3001, 400, RunStatus.NOT_RUN, False, "The settings have faults."
+    )
+    ADDRESS_IN_USE = CodeInfo(
+        3002, 500, RunStatus.NOT_RUN, False, "An address is already in use."
+    )
+    DAEMON_UNREACHABLE = CodeInfo(
+        3004, 503, RunStatus.NOT_RUN, True, "The daemon cannot be reached."
+    )
 
     @property
     def number(self) -> int:
@@ -116,6 +156,6 @@
         return self.value.number
 
     @property
-    def run(self) -> Run:
+    def run(self) -> RunStatus:
         """Return whether the request or order was executed."""
         return self.value.run
--- a/src/carobhook/state/orders.py
+++ b/src/carobhook/state/orders.py
@@ -123,7 +123,7 @@
 
 
 @attrs.frozen
-class OrderBook:
+class OrderState:
     """All orders in force, with the latest changes that produced them.
 
     Attributes:
--- a/src/carobhook/state/routing.py
+++ b/src/carobhook/state/routing.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class Share:
+class WeightedService:
     """Service that receives part of a route's requests, in proportion to its weight."""
 
     service: ids.Service
@@ -36,10 +36,10 @@
         timeout_s: Time limit of a request in seconds, from its arrival to its response.
         target_s: Latency target in seconds; a later response is worth less.
         priority: Rank of the requests; 0 is the most urgent.
-        shares: Services that run the requests, with their weights.
+        weighted_services: Services that run the requests, with their weights.
         max_attempts: Largest number of servers that one attempt of a client may be sent to;
             servers that cannot be reached are not counted.
-        keeps_objects: Whether a server that recently handled an object handles it faster
+        object_affinity: Whether a server that recently handled an object handles it faster
             again; if so, slot requests name the object.
         homes: Regions that may run the requests; empty for all regions.
     """
@@ -51,9 +51,9 @@
     timeout_s: float
     target_s: float
     priority: int
-    shares: tuple[Share, ...]
+    weighted_services: tuple[WeightedService, ...]
     max_attempts: int
-    keeps_objects: bool
+    object_affinity: bool
     homes: frozenset[ids.Region] = frozenset()
 
     @property
@@ -71,14 +71,14 @@
         health_path: Path of the health check on its servers.
         max_connections: Number of connections that one server accepts in total.
         cold_start_s: Seconds for which a server counts as cold after its start.
-        cold_per_s: Requests per second that a cold server can handle.
+        cold_requests_per_s: Requests per second that a cold server can handle.
     """
 
     name: ids.Service
     health_path: str
     max_connections: int
     cold_start_s: float
-    cold_per_s: float
+    cold_requests_per_s: float
 
 
 @attrs.frozen
--- a/src/carobhook/state/statements.py
+++ b/src/carobhook/state/statements.py
@@ -59,7 +59,7 @@
 
 
 @attrs.frozen
-class OwnCap:
+class CapOverride:
     """Cap given with an order, which replaces the general cap for this order.
 
     Attributes:
@@ -80,7 +80,7 @@
         source: Region whose clients' requests move.
         target: Region whose servers run them.
         share: Fraction of the requests that moves, from 0 to 1.
-        own_cap: Cap for this order, None for the general cap.
+        cap_override: Cap for this order, None for the general cap.
         priority: Rank of the requests that move, None for all ranks.
     """
 
@@ -88,7 +88,7 @@
     source: ids.Region
     target: ids.Region
     share: float
-    own_cap: OwnCap | None = None
+    cap_override: CapOverride | None = None
     priority: int | None = None
 
 
@@ -99,14 +99,14 @@
     Attributes:
         kind: Kind of the drained target.
         name: Name of the drained target.
-        own_cap: Cap for this order, None for the general cap.
+        cap_override: Cap for this order, None for the general cap.
         starts: Start in seconds since midnight UTC, None for immediately.
         ends: End in seconds since midnight UTC, None for no end.
     """
 
     kind: orders.DrainKind
     name: str
-    own_cap: OwnCap | None = None
+    cap_override: CapOverride | None = None
     starts: int | None = None
     ends: int | None = None
 
--- a/src/carobhook/transport/client_connections.py
+++ b/src/carobhook/transport/client_connections.py
@@ -52,15 +52,15 @@
         """Take note that the client has closed its connection."""
 
 
-Handler = Callable[[Inbound, Callable[[http1.Answer], None]], Exchange | None]
+Handler = Callable[[Inbound, Callable[[http1.Response], None]], Exchange | None]
 
 
 def own_answer(
     status: int, text: str = "", headers: tuple[tuple[bytes, bytes], ...] = ()
-) -> http1.Answer:
+) -> http1.Response:
     """Return an answer that this instance gives by itself."""
     body = text.encode() + b"\n" if text else b""
-    return http1.Answer(status, _REASONS.get(status, b"OK"), headers, body)
+    return http1.Response(status, _REASONS.get(status, b"OK"), headers, body)
 
 
 class ClientConnection(protocol.Protocol):
@@ -156,7 +156,7 @@
             return
         self._stop_timer()
         self._began_at = self._reactor.seconds()
-        self._parser = http1.server_side()
+        self._parser = http1.request_parser()
         self._feed(data)
 
     def _feed(self, data: bytes) -> None:
@@ -217,7 +217,7 @@
         if self._busy:
             self._exchange = exchange
 
-    def _answer(self, answer: http1.Answer) -> None:
+    def _answer(self, answer: http1.Response) -> None:
         """Write the answer of the present request; once for each."""
         if not self._busy or self.transport is None or not self.connected:
             return
@@ -225,7 +225,7 @@
         self._exchange = None
         self._release_body()
         closing = self._wants_close or self._listener.leaving
-        self.transport.write(http1.encode_answer(answer, self._with_body, closing))
+        self.transport.write(http1.encode_response(answer, self._with_body, closing))
         if closing:
             self._closing = True
             self.transport.loseConnection()
@@ -248,7 +248,7 @@
         logs.event("request-unreadable", status=status, reason=text)
         headers = ((b"Retry-After", b"1"),) if retry else ()
         answer = own_answer(status, text, headers)
-        self.transport.write(http1.encode_answer(answer, True, True))
+        self.transport.write(http1.encode_response(answer, True, True))
         self._stop_timer()
         self._timer = self._reactor.callLater(_LINGER_S, self.transport.loseConnection)
 
--- a/src/carobhook/transport/entry_answers.py
+++ b/src/carobhook/transport/entry_answers.py
@@ -6,14 +6,14 @@
 from carobhook import entry_metrics
 from carobhook.coordination import directory, membership
 from carobhook.platform import requests
-from carobhook.protocol import http1, own_calls
+from carobhook.protocol import client_api, http1
 from carobhook.transport import client_connections
 
 METRICS_PATH = b"/metrics"
 DIRECTORY_TTL_S = 2.0
 _MOST_ADDRESSES = 64
 
-_Answer = Callable[[http1.Answer], None]
+_Answer = Callable[[http1.Response], None]
 
 
 class EntryAnswers:
@@ -47,7 +47,7 @@
             answer(client_connections.own_answer(404))
             return
         headers = ((b"Content-Type", b"text/plain; version=0.0.4; charset=utf-8"),)
-        answer(http1.Answer(200, b"OK", headers, self._metrics.text()))
+        answer(http1.Response(200, b"OK", headers, self._metrics.text()))
 
     def take_readiness(self, inbound: client_connections.Inbound, answer: _Answer) -> None:
         """Answer whether this instance takes clients."""
@@ -59,8 +59,8 @@
         encode = requests.directory_answer
         lookup = requests.directory_query(target)
         if lookup is None:
-            encode = own_calls.lookup_answer
-            lookup = own_calls.lookup(target)
+            encode = client_api.lookup_response
+            lookup = client_api.parse_lookup(target)
         if lookup is None:
             answer(client_connections.own_answer(404))
             return
@@ -70,7 +70,7 @@
         self._metrics.count(entry_metrics.EntryMetric.LOOKUPS, str(told.status))
         answer(told)
 
-    def _addresses(self, lookup: own_calls.Lookup, client: str) -> list[str]:
+    def _addresses(self, lookup: client_api.Lookup, client: str) -> list[str]:
         """Return where a client of a failure domain connects to."""
         now = self._reactor.seconds()
         serving = self._roster.serving(now)
--- a/src/carobhook/transport/entry_daemon.py
+++ b/src/carobhook/transport/entry_daemon.py
@@ -379,10 +379,10 @@
             self._requests.marked(message)
         elif isinstance(message, slot_messages.RequestCleared):
             self._requests.cleared(message)
-        elif isinstance(message, slot_messages.LoadsWanted):
+        elif isinstance(message, slot_messages.LoadQuery):
             loads = tuple(self._desk.loads())
-            self._streams.send(sender, slot_messages.LoadsTold(message.id, loads))
-        elif isinstance(message, slot_messages.LoadsTold):
+            self._streams.send(sender, slot_messages.LoadReport(message.id, loads))
+        elif isinstance(message, slot_messages.LoadReport):
             if self._operators is not None:
                 self._operators.told_loads(message)
         else:
--- a/src/carobhook/transport/entry_requests.py
+++ b/src/carobhook/transport/entry_requests.py
@@ -9,7 +9,7 @@
 from carobhook import entry_metrics, logs
 from carobhook.coordination import catalog, intake, poison, refusals, steering
 from carobhook.platform import requests
-from carobhook.protocol import http1, own_calls, slot_messages
+from carobhook.protocol import client_api, http1, slot_messages
 from carobhook.state import codes, ids
 from carobhook.transport import (
     client_connections,
@@ -20,7 +20,7 @@
 
 _POISON_RETRY_S = 10.0
 
-Answer = Callable[[http1.Answer], None]
+Answer = Callable[[http1.Response], None]
 
 
 @attrs.frozen
@@ -90,7 +90,7 @@
             answer: Answers its client.
         """
         try:
-            call = own_calls.service_call(inbound.head)
+            call = client_api.parse_service_call(inbound.head)
             placed = self._place(inbound, call)
         except ValueError as problem:
             call = None
@@ -131,7 +131,7 @@
             self._ports.broadcast(message)
 
     def _place(
-        self, inbound: client_connections.Inbound, call: own_calls.ServiceCall | None
+        self, inbound: client_connections.Inbound, call: client_api.ServiceCall | None
     ) -> intake.Placed | refusals.Refusal:
         """Return where a request goes.
 
@@ -246,9 +246,9 @@
 
 def _telling(answer: Answer) -> Answer:
     """Return what answers a client of the product's own interface, with the result code."""
-    headers = own_calls.result_headers(codes.Code.OK, may_have_run=False)
+    headers = client_api.result_headers(codes.Code.OK, may_have_run=False)
 
-    def tell(given: http1.Answer) -> None:
+    def tell(given: http1.Response) -> None:
         is_own = given.get(headers[0][0].decode()) is not None
         answer(given if is_own else attrs.evolve(given, headers=(*given.headers, *headers)))
 
--- a/src/carobhook/transport/member_streams.py
+++ b/src/carobhook/transport/member_streams.py
@@ -7,7 +7,7 @@
 
 from carobhook import logs
 from carobhook.coordination import membership, rosters
-from carobhook.protocol import greetings, peer_codec
+from carobhook.protocol import membership_messages, peer_codec
 from carobhook.state import ids, members
 from carobhook.transport import peers
 
@@ -115,7 +115,7 @@
         self.roster.heard(member, now)
         self._forget_dead()
         self._hub.keep(self._wanted(now))
-        self._hub.broadcast(greetings.Heartbeat(member))
+        self._hub.broadcast(membership_messages.Heartbeat(member))
         for name, message in self._known.reports(now).items():
             receiver = self.roster.get(name)
             if receiver is not None:
@@ -166,16 +166,16 @@
         for member in live:
             if member.peers == address:
                 self._known.greeted(member.name)
-        self._hub.send(address, greetings.Heartbeat(self._describe()))
+        self._hub.send(address, membership_messages.Heartbeat(self._describe()))
         others = tuple(member for member in live if member.name != self._own)
-        self._hub.send(address, greetings.RosterTold(others, (), True))
+        self._hub.send(address, membership_messages.RosterUpdate(others, (), True))
 
     def _received(self, sender: ids.InstanceId, message: typing.Any) -> None:
-        if isinstance(message, greetings.Heartbeat):
+        if isinstance(message, membership_messages.Heartbeat):
             self._heard(message.member)
-        elif isinstance(message, greetings.StreamUnneeded):
+        elif isinstance(message, membership_messages.StreamClosing):
             self._known.unneeded(sender)
-        elif isinstance(message, greetings.RosterTold):
+        elif isinstance(message, membership_messages.RosterUpdate):
             self._told(sender, message)
         else:
             self._events.received(sender, message)
@@ -189,7 +189,7 @@
             self._known.used(member.name, now)
         self._noticed(before, member)
 
-    def _told(self, sender: ids.InstanceId, message: greetings.RosterTold) -> None:
+    def _told(self, sender: ids.InstanceId, message: membership_messages.RosterUpdate) -> None:
         """Take in what a relay, or an instance that was just met, knows of others."""
         now = self._reactor.seconds()
         before = {member.name: self.roster.get(member.name) for member in message.members}
--- a/src/carobhook/transport/operator_api.py
+++ b/src/carobhook/transport/operator_api.py
@@ -24,7 +24,7 @@
 _RETRY_S = 0.2
 _LOADS_WAIT_S = 1.0
 
-_Answer = Callable[[http1.Answer], None]
+_Answer = Callable[[http1.Response], None]
 
 
 @attrs.frozen
@@ -73,7 +73,7 @@
     store: objects.ObjectStore
     view: Callable[[list[slot_messages.ShardLoad]], order_tables.View]
     names: Callable[[], ordering.KnownNames]
-    ask_loads: Callable[[slot_messages.LoadsWanted], int]
+    ask_loads: Callable[[slot_messages.LoadQuery], int]
     own_loads: Callable[[], list[slot_messages.ShardLoad]]
 
 
@@ -119,7 +119,7 @@
         running.addErrback(_unexpected)
         running.addCallback(answer)
 
-    def told_loads(self, message: slot_messages.LoadsTold) -> None:
+    def told_loads(self, message: slot_messages.LoadReport) -> None:
         """Take in the loads of another instance."""
         gathering = self._gathering.get(message.id)
         if gathering is None:
@@ -129,7 +129,7 @@
         if gathering.missing <= 0 and not gathering.complete.called:
             gathering.complete.callback(None)
 
-    async def _handle(self, inbound: client_connections.Inbound) -> http1.Answer:
+    async def _handle(self, inbound: client_connections.Inbound) -> http1.Response:
         head = inbound.head
         path = head.target.partition(b"?")[0].decode("latin-1")
         header = head.get("authorization")
@@ -145,7 +145,7 @@
             return self._progress(ids.Version(int(version)))
         return _answer(order_tables.Answer(codes.Code.ORDER_SYNTAX, f"there is no {path}"))
 
-    def _progress(self, version: ids.Version) -> http1.Answer:
+    def _progress(self, version: ids.Version) -> http1.Response:
         """Return how far a version is in force."""
         view = self._ports.view([])
         missing = order_tables.missing(version, view.live)
@@ -167,7 +167,7 @@
             text = str(plain["text"])
             base = None if plain.get("base") is None else ids.Version(int(plain["base"]))
             statement = language.parse(text)
-        except language.SyntaxFaultError as fault:
+        except language.StatementSyntaxError as fault:
             return order_tables.Answer(codes.Code.ORDER_SYNTAX, str(fault))
         except (ValueError, KeyError, TypeError, AttributeError) as problem:
             reason = f"the body must have id and text: {problem!r:.100}"
@@ -219,7 +219,7 @@
         """Return the loads of all shards whose instances answer in time."""
         self._gathered += 1
         name = f"{self._gathered:x}"
-        asked = self._ports.ask_loads(slot_messages.LoadsWanted(name))
+        asked = self._ports.ask_loads(slot_messages.LoadQuery(name))
         gathering = _Gathering(asked, self._ports.own_loads(), defer.Deferred())
         if asked:
             self._gathering[name] = gathering
@@ -235,7 +235,7 @@
         return gathering.loads
 
 
-def _unexpected(reason: typing.Any) -> http1.Answer:
+def _unexpected(reason: typing.Any) -> http1.Response:
     if reason.check(order_codec.MalformedOrdersError):
         logs.error(
             "object-malformed",
@@ -250,7 +250,7 @@
     return _answer(order_tables.Answer(code, reason.getErrorMessage()))
 
 
-def _answer(result: order_tables.Answer) -> http1.Answer:
+def _answer(result: order_tables.Answer) -> http1.Response:
     info = result.code.value
     plain = {
         "code": info.number,
@@ -262,6 +262,6 @@
     return _json(info.http_status, plain)
 
 
-def _json(status: int, plain: typing.Any) -> http1.Answer:
+def _json(status: int, plain: typing.Any) -> http1.Response:
     headers = ((b"Content-Type", b"application/json"),)
-    return http1.Answer(status, b"Answer", headers, json.dumps(plain).encode() + b"\n")
+    return http1.Response(status, b"Answer", headers, json.dumps(plain).encode() + b"\n")
--- a/src/carobhook/transport/operator_view.py
+++ b/src/carobhook/transport/operator_view.py
@@ -71,7 +71,7 @@
             [view.entry.name for view in self.known.servers(now)],
         )
 
-    def _ask_loads(self, message: slot_messages.LoadsWanted, now: float) -> int:
+    def _ask_loads(self, message: slot_messages.LoadQuery, now: float) -> int:
         """Ask the instances that can give out slots; return how many were reached."""
         live = self.streams.roster.live(now)
         able = [
--- a/src/carobhook/transport/peers.py
+++ b/src/carobhook/transport/peers.py
@@ -11,7 +11,7 @@
 from twisted.python import failure
 
 from carobhook import logs
-from carobhook.protocol import framing, greetings
+from carobhook.protocol import framing, membership_messages
 from carobhook.state import ids
 from carobhook.transport import sockets
 
@@ -38,7 +38,7 @@
             framing.CodecError: The frame is of no known type or its fields are wrong.
         """
 
-    def unpacker(self, limit: int = framing.MAX_FRAME_OCTETS) -> msgpack.Unpacker:
+    def unpacker(self, limit: int = framing.MAX_FRAME_BYTES) -> msgpack.Unpacker:
         """Return a stream unpacker that holds at most so many octets."""
 
 
@@ -114,7 +114,7 @@
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self.send(greetings.Challenge(self._nonce))
+        self.send(membership_messages.Challenge(self._nonce))
         self._timer = self._reactor.callLater(_HELLO_TIMEOUT_S, self._silent)
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
@@ -132,12 +132,12 @@
             self._unpacker = self._wire.unpacker()
             self._unpacker.feed(behind)
             return
-        if isinstance(message, greetings.Heartbeat):
-            self.send(greetings.Alive())
+        if isinstance(message, membership_messages.Heartbeat):
+            self.send(membership_messages.HeartbeatAck())
         self._handler(self._sender, message)
 
     def _check(self, message: typing.Any) -> ids.InstanceId:
-        if not isinstance(message, greetings.Hello):
+        if not isinstance(message, membership_messages.Hello):
             raise framing.CodecError(f"first message must be Hello, got {message!r:.80}")
         proof = hello_proof(self._key, self._nonce, message.name, message.incarnation)
         if not hmac.compare_digest(proof, message.proof):
@@ -167,10 +167,10 @@
 
     def received(self, message: typing.Any) -> None:
         self._timer.reset(_SILENT_AFTER_S)
-        if isinstance(message, greetings.Challenge) and not self.ready:
+        if isinstance(message, membership_messages.Challenge) and not self.ready:
             me = self._identity
             proof = hello_proof(me.key, message.nonce, me.name, me.incarnation)
-            self.send(greetings.Hello(me.name, me.incarnation, proof))
+            self.send(membership_messages.Hello(me.name, me.incarnation, proof))
             self.ready = True
             self.factory.on_ready(self.factory.address)
 
@@ -315,7 +315,7 @@
             connector.stopTrying()
             if connector.stream is not None and connector.stream.transport is not None:
                 if connector.stream.ready:
-                    connector.stream.send(greetings.StreamUnneeded())
+                    connector.stream.send(membership_messages.StreamClosing())
                 connector.stream.close()
         for address in addresses:
             self.connect(address)
--- a/src/carobhook/transport/request_flow.py
+++ b/src/carobhook/transport/request_flow.py
@@ -9,8 +9,8 @@
 
 from carobhook import logs
 from carobhook.coordination import refusals
-from carobhook.protocol import http1, own_calls
-from carobhook.state import asks, codes, ids, routing
+from carobhook.protocol import client_api, http1
+from carobhook.state import allocation, codes, ids, routing
 from carobhook.transport import client_connections, server_connections
 
 # An answer on the way to the client needs about this long; a server that is given less time
@@ -38,20 +38,20 @@
     ) -> http1.RequestHead:
         """Return the head of a request as a server gets it."""
 
-    def work_end(self, answer: http1.Answer) -> asks.WorkEnd:
+    def work_end(self, answer: http1.Response) -> allocation.AttemptOutcome:
         """Return what an answer says of its server."""
 
-    def belongs(self, answer: http1.Answer, client_id: str | None) -> bool:
+    def belongs(self, answer: http1.Response, client_id: str | None) -> bool:
         """Tell whether an answer is one to a client's attempt."""
 
 
 class Desk(typing.Protocol):
     """Where slots are asked for."""
 
-    def ask(self, ask: asks.Ask, region: ids.Region) -> defer.Deferred:
+    def ask(self, ask: allocation.SlotRequest, region: ids.Region) -> defer.Deferred:
         """Ask for a slot; fires with `SlotGrant` or `SlotRefusal`; cancelling withdraws."""
 
-    def ended(self, ask_id: ids.RequestId, end: asks.WorkEnd) -> None:
+    def ended(self, ask_id: ids.RequestId, end: allocation.AttemptOutcome) -> None:
         """Give a granted slot back."""
 
 
@@ -136,7 +136,7 @@
         desk: Desk,
         servers: server_connections.ServerConnections,
         wire: Wire,
-        answer: Callable[[http1.Answer], None],
+        answer: Callable[[http1.Response], None],
         outcome: Callable[[Outcome], None],
         ended: Callable[[], None],
         broke: Callable[[Accepted], None] = lambda accepted: None,
@@ -221,7 +221,7 @@
     async def _run(self) -> None:
         while True:
             decision = await self._desk.ask(self._ask(), self._region)
-            if isinstance(decision, asks.SlotRefusal):
+            if isinstance(decision, allocation.SlotRefusal):
                 if self._falls_back():
                     continue
                 self._refuse(
@@ -237,7 +237,7 @@
                 self._first_slot_at = self._reactor.seconds()
             if not self._usable(decision.server):
                 # The dispatcher does not know yet what this instance knows.
-                self._desk.ended(self._accepted.id, asks.WorkEnd.CANCELLED)
+                self._desk.ended(self._accepted.id, allocation.AttemptOutcome.CANCELLED)
                 self._avoided |= {decision.server}
                 continue
             if not await self._send(decision):
@@ -251,13 +251,13 @@
         self._region = fallback
         return True
 
-    def _ask(self) -> asks.Ask:
+    def _ask(self) -> allocation.SlotRequest:
         accepted = self._accepted
-        return asks.Ask(
+        return allocation.SlotRequest(
             id=accepted.id,
             service=accepted.service,
             route=accepted.route.name,
-            object_key=accepted.object_key if accepted.route.keeps_objects else None,
+            object_key=accepted.object_key if accepted.route.object_affinity else None,
             priority=accepted.priority,
             target_at=accepted.target_at,
             deadline_at=accepted.deadline_at,
@@ -267,12 +267,12 @@
             domain=accepted.domain,
         )
 
-    async def _send(self, grant: asks.SlotGrant) -> bool:
+    async def _send(self, grant: allocation.SlotGrant) -> bool:
         """Send the request to a server; tell whether to try another one."""
         accepted = self._accepted
         left_s = accepted.deadline_at - self._reactor.seconds() - _ANSWER_MARGIN_S
         if left_s < _SHORTEST_WORK_S:
-            self._desk.ended(accepted.id, asks.WorkEnd.CANCELLED)
+            self._desk.ended(accepted.id, allocation.AttemptOutcome.CANCELLED)
             self._refuse(
                 refusals.Refusal(codes.Code.DEADLINE_UNMEETABLE, self._may_have_run, 1.0)
             )
@@ -282,7 +282,7 @@
         self._sends += 1
         self._stage = Stage.RUNNING
         careful = not accepted.route.repeatable
-        end = asks.WorkEnd.CANCELLED
+        end = allocation.AttemptOutcome.CANCELLED
         try:
             received = await self._servers.exchange(
                 grant.address, head, accepted.inbound.body, careful, self._belongs
@@ -297,12 +297,12 @@
             return False
         return self._conclude(end, received, grant)
 
-    def _belongs(self, answer: http1.Answer) -> bool:
+    def _belongs(self, answer: http1.Response) -> bool:
         return self._wire.belongs(answer, self._accepted.client_id)
 
     def _failed(
-        self, problem: server_connections.ExchangeError, grant: asks.SlotGrant
-    ) -> asks.WorkEnd:
+        self, problem: server_connections.ExchangeError, grant: allocation.SlotGrant
+    ) -> allocation.AttemptOutcome:
         """Return what a failed exchange says of the server."""
         logs.event(
             "exchange-broken",
@@ -316,27 +316,27 @@
             # Nothing arrived, so neither a bound of attempts nor the budget counts it.
             self._sends -= 1
             self._unreachable += 1
-            return asks.WorkEnd.UNREACHABLE
+            return allocation.AttemptOutcome.UNREACHABLE
         self._may_have_run = True
         if problem.reused and problem.fault is server_connections.Fault.RESET:
             # The server may have closed the connection before the request reached it.
             self._servers.distrust(grant.address)
-        return asks.WorkEnd.BROKEN
+        return allocation.AttemptOutcome.BROKEN
 
     def _conclude(
         self,
-        end: asks.WorkEnd,
+        end: allocation.AttemptOutcome,
         received: server_connections.Received | None,
-        grant: asks.SlotGrant,
+        grant: allocation.SlotGrant,
     ) -> bool:
         """Answer the client, or tell that another server may be tried."""
-        if end is asks.WorkEnd.ANSWERED:
+        if end is allocation.AttemptOutcome.ANSWERED:
             self._pass_on(received)
             return False
-        if end is asks.WorkEnd.FAILED:
+        if end is allocation.AttemptOutcome.FAILED:
             self._may_have_run = True
             self._failure = received
-        elif end is asks.WorkEnd.BROKEN:
+        elif end is allocation.AttemptOutcome.BROKEN:
             self._broke(self._accepted)
         self._avoided |= {grant.server}
         if self._may_try_again(end):
@@ -349,22 +349,24 @@
                 sends=self._sends,
             )
             return True
-        if end is asks.WorkEnd.BROKEN:
+        if end is allocation.AttemptOutcome.BROKEN:
             self._refuse(refusals.Refusal(codes.Code.BACKEND_LOST, True))
         else:
             code = (
-                codes.Code.BACKEND_SHED if end is asks.WorkEnd.SHED else codes.Code.NO_BACKEND
+                codes.Code.BACKEND_SHED
+                if end is allocation.AttemptOutcome.SHED
+                else codes.Code.NO_BACKEND
             )
             self._refuse(refusals.Refusal(code, self._may_have_run, 0.5))
         return False
 
-    def _may_try_again(self, end: asks.WorkEnd) -> bool:
+    def _may_try_again(self, end: allocation.AttemptOutcome) -> bool:
         route = self._accepted.route
         if self._answered:
             return False
         if self._sends >= route.max_attempts or self._unreachable > _MOST_UNREACHABLE:
             return False
-        ran = end in (asks.WorkEnd.FAILED, asks.WorkEnd.BROKEN)
+        ran = end in (allocation.AttemptOutcome.FAILED, allocation.AttemptOutcome.BROKEN)
         if ran and not route.repeatable:
             return False
         return self._accepted.deadline_at - self._reactor.seconds() > _SHORTEST_WORK_S
@@ -434,12 +436,12 @@
         )
 
 
-def refusal_answer(refusal: refusals.Refusal) -> http1.Answer:
+def refusal_answer(refusal: refusals.Refusal) -> http1.Response:
     """Return the answer that tells a client of a refusal."""
     info = refusal.code.value
     headers = [
         (b"Content-Type", b"text/plain; charset=utf-8"),
-        *own_calls.result_headers(refusal.code, refusal.may_have_run),
+        *client_api.result_headers(refusal.code, refusal.may_have_run),
     ]
     if refusal.status == 503 and refusal.retry_after_s is not None:
         headers.append((b"Retry-After", f"{refusal.retry_after_s:.3f}".encode()))
--- a/src/carobhook/transport/server_connections.py
+++ b/src/carobhook/transport/server_connections.py
@@ -23,10 +23,10 @@
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
 
-Belongs = Callable[[http1.Answer], bool]
+Belongs = Callable[[http1.Response], bool]
 
 
-def _any_answer(answer: http1.Answer) -> bool:
+def _any_answer(answer: http1.Response) -> bool:
     return True
 
 
@@ -62,7 +62,7 @@
 class Received:
     """A whole answer and what it says of its connection."""
 
-    answer: http1.Answer
+    answer: http1.Response
     raw_headers: http1.Headers
     closing: bool
 
@@ -101,7 +101,7 @@
         return self._waiting
 
     def _expect_answer(self) -> None:
-        self._parser = http1.client_side()
+        self._parser = http1.response_parser()
         # The parser only needs to know the method; what is sent is encoded by this program.
         request = h11.Request(method=self._method, target="/", headers=[("Host", "x")])
         self._parser.send(request)
@@ -168,10 +168,10 @@
         parser, self._parser = typing.cast(h11.Connection, self._parser), None
         extra, ended = parser.trailing_data
         raw = tuple(self._response.headers.raw_items())
-        answer = http1.Answer(
+        answer = http1.Response(
             self._response.status_code,
             self._response.reason,
-            http1.end_to_end(raw),
+            http1.end_to_end_headers(raw),
             b"".join(self._body),
         )
         closing = bool(extra) or ended or parser.their_state is not h11.DONE
--- a/src/carobhook/transport/slot_asks.py
+++ b/src/carobhook/transport/slot_asks.py
@@ -8,7 +8,7 @@
 
 from carobhook.coordination import dispatcher
 from carobhook.protocol import slot_messages
-from carobhook.state import asks, codes, ids
+from carobhook.state import allocation, codes, ids
 
 Shard = tuple[ids.Region, ids.Service]
 
@@ -22,7 +22,7 @@
 class _Pending:
     """An ask without an answer."""
 
-    ask: asks.Ask
+    ask: allocation.SlotRequest
     region: ids.Region
     answered: defer.Deferred
     owner: ids.InstanceId | None = None
@@ -38,7 +38,7 @@
 class _Held:
     """A slot that a request holds."""
 
-    ask: asks.Ask
+    ask: allocation.SlotRequest
     region: ids.Region
     server: ids.Server
     owner: ids.InstanceId
@@ -79,7 +79,7 @@
         """Return how many asks wait."""
         return len(self._pending)
 
-    def ask(self, ask: asks.Ask, region: ids.Region) -> defer.Deferred:
+    def ask(self, ask: allocation.SlotRequest, region: ids.Region) -> defer.Deferred:
         """Ask for a slot; fires with `SlotGrant` or `SlotRefusal`; cancelling withdraws.
 
         Args:
@@ -92,15 +92,15 @@
         self._place(pending)
         return answered
 
-    def ended(self, ask_id: ids.RequestId, end: asks.WorkEnd) -> None:
+    def ended(self, ask_id: ids.RequestId, end: allocation.AttemptOutcome) -> None:
         """Give a granted slot back."""
         held = self._held.pop(ask_id, None)
         if held is None:
             return
         owner = self._owner_of(held.shard) or held.owner
-        self._send(owner, slot_messages.SlotEnded(ask_id, *held.shard, held.server, end))
+        self._send(owner, slot_messages.SlotReleased(ask_id, *held.shard, held.server, end))
 
-    def granted(self, owner: ids.InstanceId, grant: asks.SlotGrant) -> None:
+    def granted(self, owner: ids.InstanceId, grant: allocation.SlotGrant) -> None:
         """Take in a slot."""
         pending = self._pending.get(grant.ask_id)
         if pending is None:
@@ -109,7 +109,7 @@
         self._held[grant.ask_id] = _Held(pending.ask, pending.region, grant.server, owner)
         self._answer(grant)
 
-    def refused(self, refusal: asks.SlotRefusal) -> None:
+    def refused(self, refusal: allocation.SlotRefusal) -> None:
         """Take in a refusal."""
         self._answer(refusal)
 
@@ -132,21 +132,21 @@
             if pending.shard == shard and pending.owner != owner:
                 self._place(pending)
 
-    def held(self, shard: Shard) -> slot_messages.SlotsHeld:
+    def held(self, shard: Shard) -> slot_messages.HeldSlotsReport:
         """Return the slots of a shard that requests of this instance hold."""
         held = tuple(
             slot_messages.HeldSlot(ask_id, slot.ask.route, slot.ask.object_key, slot.server)
             for ask_id, slot in self._held.items()
             if slot.shard == shard
         )
-        return slot_messages.SlotsHeld(*shard, held)
+        return slot_messages.HeldSlotsReport(*shard, held)
 
     def _place(self, pending: _Pending) -> None:
         """Send an ask to the instance that gives out the slots."""
         owner = pending.owner = self._owner_of(pending.shard)
         now = self._reactor.seconds()
         if owner is None:
-            self._answer(asks.SlotRefusal(pending.ask.id, codes.Code.NO_BACKEND, 1.0))
+            self._answer(allocation.SlotRefusal(pending.ask.id, codes.Code.NO_BACKEND, 1.0))
         elif self._send(owner, _asked(pending, now)):
             pending.unsent_since = None
         else:
@@ -159,7 +159,7 @@
         if now - pending.unsent_since >= _STREAM_WAIT_S:
             code = codes.Code.DISPATCHER_SILENT
             detail = f"no stream to {pending.owner}"
-            self._answer(asks.SlotRefusal(pending.ask.id, code, 0.5, detail))
+            self._answer(allocation.SlotRefusal(pending.ask.id, code, 0.5, detail))
         else:
             self._reactor.callLater(_STREAM_RETRY_S, self._place_again, pending.ask.id)
 
@@ -171,7 +171,9 @@
     def _withdraw(self, ask_id: ids.RequestId) -> None:
         pending = self._pending.pop(ask_id, None)
         if pending is not None and pending.owner is not None:
-            self._send(pending.owner, slot_messages.SlotAskWithdrawn(ask_id, *pending.shard))
+            self._send(
+                pending.owner, slot_messages.SlotRequestWithdrawn(ask_id, *pending.shard)
+            )
 
     def _answer(self, decision: dispatcher.Decision) -> None:
         pending = self._pending.pop(decision.ask_id, None)
@@ -179,9 +181,9 @@
             pending.answered.callback(decision)
 
 
-def _asked(pending: _Pending, now: float) -> slot_messages.SlotAsked:
+def _asked(pending: _Pending, now: float) -> slot_messages.SlotRequested:
     ask = pending.ask
-    return slot_messages.SlotAsked(
+    return slot_messages.SlotRequested(
         ask.id,
         pending.region,
         ask.service,
--- a/src/carobhook/transport/slot_desk.py
+++ b/src/carobhook/transport/slot_desk.py
@@ -8,7 +8,7 @@
 from carobhook import logs
 from carobhook.coordination import catalog, membership, steering
 from carobhook.protocol import slot_messages
-from carobhook.state import asks, codes, ids
+from carobhook.state import allocation, codes, ids
 from carobhook.transport import slot_asks, slot_shards
 
 _REPORT_INTERVAL_S = 0.5
@@ -80,7 +80,7 @@
         """Return how many asks of this instance wait."""
         return self._asks.waiting
 
-    def ask(self, ask: asks.Ask, region: ids.Region) -> defer.Deferred:
+    def ask(self, ask: allocation.SlotRequest, region: ids.Region) -> defer.Deferred:
         """Ask for a slot; fires with `SlotGrant` or `SlotRefusal`; cancelling withdraws.
 
         Args:
@@ -89,7 +89,7 @@
         """
         return self._asks.ask(ask, region)
 
-    def ended(self, ask_id: ids.RequestId, end: asks.WorkEnd) -> None:
+    def ended(self, ask_id: ids.RequestId, end: allocation.AttemptOutcome) -> None:
         """Give a granted slot back."""
         self._asks.ended(ask_id, end)
 
@@ -127,21 +127,21 @@
 
     def received(self, sender: ids.InstanceId, message: typing.Any) -> None:
         """Handle a message about slots."""
-        if isinstance(message, slot_messages.SlotAsked):
+        if isinstance(message, slot_messages.SlotRequested):
             self._shards.asked(sender, message)
-        elif isinstance(message, slot_messages.SlotAskWithdrawn):
+        elif isinstance(message, slot_messages.SlotRequestWithdrawn):
             self._shards.withdrawn(message)
-        elif isinstance(message, slot_messages.SlotEnded):
+        elif isinstance(message, slot_messages.SlotReleased):
             self._shards.ended(message)
         elif isinstance(message, slot_messages.SlotGranted):
             self._asks.granted(sender, message.grant)
         elif isinstance(message, slot_messages.SlotRefused):
             self._asks.refused(_refusal(sender, message))
-        elif isinstance(message, slot_messages.SlotMoved):
+        elif isinstance(message, slot_messages.NotDispatcher):
             self._asks.moved(message.ask_id)
-        elif isinstance(message, slot_messages.SlotsWanted):
+        elif isinstance(message, slot_messages.HeldSlotsQuery):
             self._send(sender, self._asks.held((message.region, message.service)))
-        elif isinstance(message, slot_messages.SlotsHeld):
+        elif isinstance(message, slot_messages.HeldSlotsReport):
             self._shards.told_held(sender, message)
         elif isinstance(message, slot_messages.RegionReport):
             self._shards.told_region(message)
@@ -189,8 +189,10 @@
                     self._shards.open((region, service))
 
 
-def _refusal(sender: ids.InstanceId, message: slot_messages.SlotRefused) -> asks.SlotRefusal:
+def _refusal(
+    sender: ids.InstanceId, message: slot_messages.SlotRefused
+) -> allocation.SlotRefusal:
     code = _CODES.get(message.code, codes.Code.NO_BACKEND)
-    return asks.SlotRefusal(
+    return allocation.SlotRefusal(
         message.ask_id, code, message.retry_after_s, f"{sender}: {message.detail}"
     )
--- a/src/carobhook/transport/slot_shards.py
+++ b/src/carobhook/transport/slot_shards.py
@@ -15,7 +15,7 @@
     steering,
 )
 from carobhook.protocol import slot_messages
-from carobhook.state import asks, ids
+from carobhook.state import allocation, ids
 from carobhook.transport import slot_asks
 
 Shard = slot_asks.Shard
@@ -119,14 +119,14 @@
 
     # Asks.
 
-    def asked(self, sender: ids.InstanceId, message: slot_messages.SlotAsked) -> None:
+    def asked(self, sender: ids.InstanceId, message: slot_messages.SlotRequested) -> None:
         """Decide an ask, or say that another instance must."""
         now = self._reactor.seconds()
         shard = (message.region, message.service)
         if self._owner_of(shard) != self._own:
-            self._send(sender, slot_messages.SlotMoved(message.id))
+            self._send(sender, slot_messages.NotDispatcher(message.id))
             return
-        ask = asks.Ask(
+        ask = allocation.SlotRequest(
             id=message.id,
             service=message.service,
             route=message.route,
@@ -143,7 +143,7 @@
         held.askers[ask.id] = sender
         self._carry_out(held, held.dispatcher.ask(ask, now))
 
-    def withdrawn(self, message: slot_messages.SlotAskWithdrawn) -> None:
+    def withdrawn(self, message: slot_messages.SlotRequestWithdrawn) -> None:
         """Forget an ask, or take its slot back."""
         held = self._shards.get((message.region, message.service))
         if held is None:
@@ -155,9 +155,11 @@
         if granted is not None:
             # The grant crossed the withdrawal, so nothing was sent.
             now = self._reactor.seconds()
-            held.dispatcher.ended(message.id, granted[1], asks.WorkEnd.CANCELLED, now)
+            held.dispatcher.ended(
+                message.id, granted[1], allocation.AttemptOutcome.CANCELLED, now
+            )
 
-    def ended(self, message: slot_messages.SlotEnded) -> None:
+    def ended(self, message: slot_messages.SlotReleased) -> None:
         """Take a slot back."""
         held = self._shards.get((message.region, message.service))
         if held is None:
@@ -167,7 +169,7 @@
         decided = held.dispatcher.ended(message.id, message.server, message.end, now)
         self._carry_out(held, decided)
 
-    def told_held(self, sender: ids.InstanceId, message: slot_messages.SlotsHeld) -> None:
+    def told_held(self, sender: ids.InstanceId, message: slot_messages.HeldSlotsReport) -> None:
         """Count slots that requests of an instance hold since before the takeover."""
         now = self._reactor.seconds()
         shard = (message.region, message.service)
@@ -175,7 +177,9 @@
             return
         held = self.open(shard)
         for slot in message.held:
-            ask = asks.Ask(slot.id, message.service, slot.route, slot.object_key, 0, now, now)
+            ask = allocation.SlotRequest(
+                slot.id, message.service, slot.route, slot.object_key, 0, now, now
+            )
             held.dispatcher.hold(ask, slot.server, now)
             held.granted[slot.id] = (sender, slot.server)
         held.untold.discard(sender)
@@ -192,7 +196,9 @@
             gone = [ask_id for ask_id, entry in held.granted.items() if entry[0] == name]
             for ask_id in gone:
                 server = held.granted.pop(ask_id)[1]
-                decided = held.dispatcher.ended(ask_id, server, asks.WorkEnd.CANCELLED, now)
+                decided = held.dispatcher.ended(
+                    ask_id, server, allocation.AttemptOutcome.CANCELLED, now
+                )
                 self._carry_out(held, decided)
             self._decide(held, now)
 
@@ -203,7 +209,7 @@
     def _carry_out(self, held: _Held, decisions: Iterable[dispatcher.Decision]) -> None:
         for decision in decisions:
             asker = held.askers.pop(decision.ask_id, self._own)
-            if isinstance(decision, asks.SlotGrant):
+            if isinstance(decision, allocation.SlotGrant):
                 held.granted[decision.ask_id] = (asker, decision.server)
                 told: typing.Any = slot_messages.SlotGranted(decision)
             else:
@@ -243,8 +249,8 @@
         held.untold_until = self._reactor.seconds() + _TAKEOVER_S
         held.dispatcher.paused = bool(held.untold)
         for name in sorted(held.untold):
-            self._send(name, slot_messages.SlotsWanted(*shard))
-        self._send(self._own, slot_messages.SlotsWanted(*shard))
+            self._send(name, slot_messages.HeldSlotsQuery(*shard))
+        self._send(self._own, slot_messages.HeldSlotsQuery(*shard))
 
     def hand_over(self, shard: Shard) -> None:
         """Stop giving out the slots of a shard; who waits asks the new owner."""
@@ -254,7 +260,7 @@
         for ask in held.dispatcher.take_waiting():
             asker = held.askers.pop(ask.id, None)
             if asker is not None:
-                self._send(asker, slot_messages.SlotMoved(ask.id))
+                self._send(asker, slot_messages.NotDispatcher(ask.id))
 
     def servers_changed(self) -> None:
         """Take in a new view of the servers."""
@@ -326,10 +332,10 @@
         """Return the rate at which this instance may send to a cold server of a service."""
         config = self._known.config
         policy = config.services.get(service) if config is not None else None
-        if policy is None or policy.cold_per_s <= 0:
+        if policy is None or policy.cold_requests_per_s <= 0:
             return None
-        most = policy.cold_per_s * self._bounds.cold_over + self._bounds.cold_slack
-        return server_pool.shared_cold_rate(policy.cold_per_s, most, visible)
+        most = policy.cold_requests_per_s * self._bounds.cold_over + self._bounds.cold_slack
+        return server_pool.shared_cold_rate(policy.cold_requests_per_s, most, visible)
 
     def _set_lent(self, held: _Held, now: float) -> None:
         """Set how many slots of each server this dispatcher must leave alone."""
--- a/src/carobhook/transport/store_follow.py
+++ b/src/carobhook/transport/store_follow.py
@@ -86,7 +86,7 @@
         self._rng = rng
         self._changed = changed
         self._port = port
-        self._objects: dict[str, dict[str, feed_messages.FedObject]] = {}
+        self._objects: dict[str, dict[str, feed_messages.FeedObject]] = {}
         self._revisions: dict[str, int] = {}
         self._evacuated: set[ids.FailureDomain] = set()
         self._followers: list[following.Follower] = []
@@ -122,7 +122,7 @@
             self._port.candidates(), self._port.relays(), self.complete, now
         )
         if step.ask is not None:
-            self._port.send(step.ask, feed_messages.FeedWanted())
+            self._port.send(step.ask, feed_messages.FeedRequest())
         if step.direct and not self._followers:
             self._go_direct()
         elif not step.direct and self._followers:
@@ -131,7 +131,7 @@
         if self._followers:
             self._probe(now)
             if feeding.in_touch(self._platform.answered_at, now):
-                told = feed_messages.FeedFresh(feed_messages.revisions_of(self._revisions))
+                told = feed_messages.FeedProgress(feed_messages.revision_pairs(self._revisions))
                 for name in self._subscribers.due(now):
                     self._port.send(name, told)
 
@@ -142,12 +142,12 @@
     def received(self, sender: ids.InstanceId, message: feed_messages.Message) -> None:
         """Handle a message about the feed."""
         now = self._reactor.seconds()
-        if isinstance(message, feed_messages.FeedWanted):
+        if isinstance(message, feed_messages.FeedRequest):
             if self._followers and self.complete:
                 self._subscribers.add(sender)
                 for snapshot in self._snapshots():
                     self._port.send(sender, snapshot)
-        elif isinstance(message, feed_messages.FeedFresh):
+        elif isinstance(message, feed_messages.FeedProgress):
             current = all(
                 self._revisions.get(kind, -1) >= revision
                 for kind, revision in message.revisions
@@ -246,7 +246,7 @@
     # What is known.
 
     def _replace(
-        self, kind: str, revision: int, items: Iterable[feed_messages.FedObject]
+        self, kind: str, revision: int, items: Iterable[feed_messages.FeedObject]
     ) -> None:
         now = self._reactor.seconds()
         held = {item.name: item for item in items}
@@ -262,7 +262,7 @@
         self._changed()
 
     def _change(
-        self, kind: str, revision: int, items: Iterable[feed_messages.FedObject]
+        self, kind: str, revision: int, items: Iterable[feed_messages.FeedObject]
     ) -> None:
         held = self._objects.setdefault(kind, {})
         for item in items:
@@ -274,7 +274,7 @@
         self._take(kind, items, self._reactor.seconds())
         self._changed()
 
-    def _take(self, kind: str, items: Iterable[feed_messages.FedObject], now: float) -> None:
+    def _take(self, kind: str, items: Iterable[feed_messages.FeedObject], now: float) -> None:
         for item in items:
             if kind == names.CONFIG_KIND:
                 self._take_config(item)
@@ -287,7 +287,7 @@
         if kind == names.EVACUATIONS_KIND:
             self._known.set_evacuated(frozenset(self._evacuated))
 
-    def _take_config(self, item: feed_messages.FedObject) -> None:
+    def _take_config(self, item: feed_messages.FeedObject) -> None:
         if item.name != names.CONFIG_NAME or item.value is None:
             return
         config = _decoded(
@@ -304,7 +304,7 @@
                 routes=len(config.routes),
             )
 
-    def _take_orders(self, item: feed_messages.FedObject) -> None:
+    def _take_orders(self, item: feed_messages.FeedObject) -> None:
         if item.name != orders.STORE_NAME or item.value is None:
             return
         # Imported late, as most instances never see an order.
@@ -313,13 +313,13 @@
         book = _decoded(
             f"{orders.STORE_KIND}/{item.name}",
             item.value,
-            order_codec.book,
+            order_codec.decode,
             order_codec.MalformedOrdersError,
         )
         if book is not None and self._orders.offer(book):
             logs.event("orders-in-force", version=book.version, revision=item.version)
 
-    def _take_server(self, item: feed_messages.FedObject, now: float) -> None:
+    def _take_server(self, item: feed_messages.FeedObject, now: float) -> None:
         name = ids.Server(item.name)
         if item.value is None:
             logs.event("server-removed", server=name, revision=item.version)
@@ -345,7 +345,7 @@
         )
         self._known.put(entry, now)
 
-    def _take_evacuation(self, item: feed_messages.FedObject) -> None:
+    def _take_evacuation(self, item: feed_messages.FeedObject) -> None:
         zone = ids.FailureDomain(item.name)
         logs.event("evacuation", zone=zone, begun=item.value is not None, revision=item.version)
         if item.value is None:
@@ -377,20 +377,20 @@
 
 def _news(
     kind: str,
-    held: dict[str, feed_messages.FedObject],
-    before: dict[str, feed_messages.FedObject],
-) -> list[feed_messages.FedObject]:
+    held: dict[str, feed_messages.FeedObject],
+    before: dict[str, feed_messages.FeedObject],
+) -> list[feed_messages.FeedObject]:
     """Return what a listing holds that was not known; what was evacuated is told anew."""
     if kind == names.EVACUATIONS_KIND:
         return list(held.values())
     return [item for item in held.values() if item != before.get(item.name)]
 
 
-def _fed(item: objects.StoredObject | objects.WatchEvent) -> feed_messages.FedObject:
+def _fed(item: objects.StoredObject | objects.WatchEvent) -> feed_messages.FeedObject:
     value = None
     if item.value is not None:
         value = json.dumps(item.value, separators=(",", ":")).encode()
-    return feed_messages.FedObject(item.name, item.version, value)
+    return feed_messages.FeedObject(item.name, item.version, value)
 
 
 def _log_failure(reason: typing.Any) -> None:
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -11,14 +11,14 @@
     retry_allowance,
     server_pool,
 )
-from carobhook.state import asks, codes, ids, servers
+from carobhook.state import allocation, codes, ids, servers
 
 SERVICE = ids.Service("catalogue")
 HOME = ids.Region("north")
 FAR = ids.Region("south")
 
 
-def server(name, slots=2, region=HOME, cold_until=0.0, cold_per_s=None, born=None):
+def server(name, slots=2, region=HOME, cold_until=0.0, cold_requests_per_s=None, born=None):
     """Return a server as a pool holds it."""
     entry = servers.ServerEntry(
         ids.Server(name),
@@ -31,7 +31,7 @@
         born,
     )
     return server_pool.ServerOffer(
-        catalog.ServerView(entry, cold_until), region, slots, cold_rate=cold_per_s
+        catalog.ServerView(entry, cold_until), region, slots, cold_rate=cold_requests_per_s
     )
 
 
@@ -46,7 +46,7 @@
 def ask(number, now=0.0, target_s=1.0, deadline_s=5.0, **fields):
     """Return an ask."""
     fields = {"object_key": None, "priority": 1} | fields
-    return asks.Ask(
+    return allocation.SlotRequest(
         ids.RequestId(f"r{number}"),
         SERVICE,
         "route",
@@ -58,7 +58,7 @@
 
 def grants(decisions):
     """Return the ids that got a slot."""
-    return [d.ask_id for d in decisions if isinstance(d, asks.SlotGrant)]
+    return [d.ask_id for d in decisions if isinstance(d, allocation.SlotGrant)]
 
 
 class TestSlots:
@@ -70,7 +70,9 @@
         assert grants(one.ask(ask(1), 0.0)) == ["r1"]
         assert grants(one.ask(ask(2), 0.0)) == ["r2"]
         assert one.ask(ask(3), 0.0) == []
-        freed = one.ended(ids.RequestId("r1"), ids.Server("a"), asks.WorkEnd.ANSWERED, 0.2)
+        freed = one.ended(
+            ids.RequestId("r1"), ids.Server("a"), allocation.AttemptOutcome.ANSWERED, 0.2
+        )
         assert grants(freed) == ["r3"]
 
     def test_lent_slots_are_not_used(self):
@@ -107,7 +109,7 @@
         answered = []
         for number in range(20):
             answered += one.ask(ask(number, target_s=0.6), 0.0)
-        refused = [d for d in answered if isinstance(d, asks.SlotRefusal)]
+        refused = [d for d in answered if isinstance(d, allocation.SlotRefusal)]
         assert len(refused) > 10
         assert all(d.code is codes.Code.DEADLINE_UNMEETABLE for d in refused)
         assert all(0 < d.retry_after_s <= 5 for d in refused)
@@ -127,7 +129,9 @@
         one.ask(ask(1), 0.0)
         one.ask(ask(2, target_s=0.7), 0.0)
         assert one.decide(0.6) == []
-        freed = one.ended(ids.RequestId("r1"), ids.Server("a"), asks.WorkEnd.ANSWERED, 0.8)
+        freed = one.ended(
+            ids.RequestId("r1"), ids.Server("a"), allocation.AttemptOutcome.ANSWERED, 0.8
+        )
         assert grants(freed) == ["r2"]
 
     def test_urgent_goes_first(self):
@@ -136,7 +140,9 @@
         one.ask(ask(1), 0.0)
         one.ask(ask(2, priority=2), 0.0)
         one.ask(ask(3, priority=0), 0.01)
-        freed = one.ended(ids.RequestId("r1"), ids.Server("a"), asks.WorkEnd.ANSWERED, 0.1)
+        freed = one.ended(
+            ids.RequestId("r1"), ids.Server("a"), allocation.AttemptOutcome.ANSWERED, 0.1
+        )
         assert grants(freed) == ["r3"]
 
     def test_repeats_are_bounded(self):
@@ -155,7 +161,7 @@
         """After a broken connection it gets one request at a time, later."""
         one = made(server("a"))
         one.ask(ask(1), 0.0)
-        one.ended(ids.RequestId("r1"), ids.Server("a"), asks.WorkEnd.BROKEN, 0.1)
+        one.ended(ids.RequestId("r1"), ids.Server("a"), allocation.AttemptOutcome.BROKEN, 0.1)
         assert one.ask(ask(2, now=0.1, target_s=3.0), 0.1) == []
         assert grants(one.decide(0.6)) == ["r2"]
         assert one.ask(ask(3, now=0.6), 0.6) == []
@@ -166,22 +172,30 @@
         for number in range(8):
             name = ids.RequestId(f"x{number}")
             one.hold(ask(f"x{number}"), ids.Server("a"), 0.0)
-            one.ended(ids.RequestId(f"rx{number}"), ids.Server("a"), asks.WorkEnd.FAILED, 0.1)
+            one.ended(
+                ids.RequestId(f"rx{number}"),
+                ids.Server("a"),
+                allocation.AttemptOutcome.FAILED,
+                0.1,
+            )
             assert name
         first = one.ask(ask(1, now=0.2), 0.2)
         assert first[0].server == "b"
 
     def test_cold_server_gets_no_more_than_its_rate(self):
         """Over any second, a cold server gets its rate and the burst."""
-        one = made(server("a", slots=50, cold_until=10.0, cold_per_s=5.0))
+        one = made(server("a", slots=50, cold_until=10.0, cold_requests_per_s=5.0))
         times = []
         for number in range(200):
             now = number * 0.02
             for decision in one.ask(ask(number, now=now), now):
-                if isinstance(decision, asks.SlotGrant):
+                if isinstance(decision, allocation.SlotGrant):
                     times.append(now)
                     one.ended(
-                        decision.ask_id, decision.server, asks.WorkEnd.ANSWERED, now + 0.001
+                        decision.ask_id,
+                        decision.server,
+                        allocation.AttemptOutcome.ANSWERED,
+                        now + 0.001,
                     )
         most = max(sum(1 for t in times if start <= t < start + 1) for start in times)
         assert most <= 5 + 2 + 1
@@ -194,11 +208,11 @@
         """With slots free everywhere, the server that had the object gets it again."""
         one = made(*[server(f"s{n}") for n in range(6)])
         first = one.ask(ask(1, object_key="k"), 0.0)[0]
-        one.ended(first.ask_id, first.server, asks.WorkEnd.ANSWERED, 0.6)
+        one.ended(first.ask_id, first.server, allocation.AttemptOutcome.ANSWERED, 0.6)
         for number in range(2, 8):
             again = one.ask(ask(number, now=1.0, object_key="k"), 1.0)[0]
             assert again.server == first.server
-            one.ended(again.ask_id, again.server, asks.WorkEnd.ANSWERED, 1.2)
+            one.ended(again.ask_id, again.server, allocation.AttemptOutcome.ANSWERED, 1.2)
 
 
 class World:
@@ -254,10 +268,13 @@
                 self.in_time += took <= self.TARGET_S
                 self.late += took > self.TARGET_S
                 decisions = self.one.ended(
-                    ids.RequestId(key), ids.Server(server_), asks.WorkEnd.ANSWERED, now
+                    ids.RequestId(key),
+                    ids.Server(server_),
+                    allocation.AttemptOutcome.ANSWERED,
+                    now,
                 )
             for decision in decisions:
-                if isinstance(decision, asks.SlotRefusal):
+                if isinstance(decision, allocation.SlotRefusal):
                     self.refused += 1
                     self.refused_after.append(now - began[decision.ask_id])
                     continue
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -5,34 +5,40 @@
 import pytest
 from hypothesis import strategies as st
 
-from carobhook.protocol import feed_messages, framing, greetings, peer_codec, slot_messages
-from carobhook.state import asks, ids
+from carobhook.protocol import (
+    feed_messages,
+    framing,
+    membership_messages,
+    peer_codec,
+    slot_messages,
+)
+from carobhook.state import allocation, ids
 
 # Type tag, class and number of fields of each message.
 MESSAGES = [
-    ("Challenge", greetings.Challenge, 1),
-    ("Hello", greetings.Hello, 3),
-    ("Heartbeat", greetings.Heartbeat, 1),
-    ("Alive", greetings.Alive, 0),
-    ("RosterTold", greetings.RosterTold, 3),
-    ("StreamUnneeded", greetings.StreamUnneeded, 0),
-    ("SlotAsked", slot_messages.SlotAsked, 12),
-    ("SlotAskWithdrawn", slot_messages.SlotAskWithdrawn, 3),
+    ("Challenge", membership_messages.Challenge, 1),
+    ("Hello", membership_messages.Hello, 3),
+    ("Heartbeat", membership_messages.Heartbeat, 1),
+    ("Alive", membership_messages.HeartbeatAck, 0),
+    ("RosterTold", membership_messages.RosterUpdate, 3),
+    ("StreamUnneeded", membership_messages.StreamClosing, 0),
+    ("SlotAsked", slot_messages.SlotRequested, 12),
+    ("SlotAskWithdrawn", slot_messages.SlotRequestWithdrawn, 3),
     ("SlotGranted", slot_messages.SlotGranted, 1),
     ("SlotRefused", slot_messages.SlotRefused, 4),
-    ("SlotMoved", slot_messages.SlotMoved, 1),
-    ("SlotEnded", slot_messages.SlotEnded, 5),
-    ("SlotsWanted", slot_messages.SlotsWanted, 2),
-    ("SlotsHeld", slot_messages.SlotsHeld, 3),
+    ("SlotMoved", slot_messages.NotDispatcher, 1),
+    ("SlotEnded", slot_messages.SlotReleased, 5),
+    ("SlotsWanted", slot_messages.HeldSlotsQuery, 2),
+    ("SlotsHeld", slot_messages.HeldSlotsReport, 3),
     ("RegionReport", slot_messages.RegionReport, 7),
-    ("LoadsWanted", slot_messages.LoadsWanted, 1),
-    ("LoadsTold", slot_messages.LoadsTold, 2),
+    ("LoadsWanted", slot_messages.LoadQuery, 1),
+    ("LoadsTold", slot_messages.LoadReport, 2),
     ("RequestMarked", slot_messages.RequestMarked, 4),
     ("RequestCleared", slot_messages.RequestCleared, 1),
-    ("FeedWanted", feed_messages.FeedWanted, 0),
+    ("FeedWanted", feed_messages.FeedRequest, 0),
     ("FeedSnapshot", feed_messages.FeedSnapshot, 3),
     ("FeedEvents", feed_messages.FeedEvents, 4),
-    ("FeedFresh", feed_messages.FeedFresh, 1),
+    ("FeedFresh", feed_messages.FeedProgress, 1),
 ]
 
 
@@ -48,12 +54,12 @@
 
     def test_message_with_nested_values(self):
         """Enums and nested values survive encoding and decoding."""
-        message = slot_messages.SlotEnded(
+        message = slot_messages.SlotReleased(
             ids.RequestId("1"),
             ids.Region("r"),
             ids.Service("s"),
             ids.Server("x"),
-            asks.WorkEnd.BROKEN,
+            allocation.AttemptOutcome.BROKEN,
         )
         assert round_trip(message) == message
 
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -61,7 +61,7 @@
             (b"X-Other", b"2"),
             (b"Transfer-Encoding", b"chunked"),
         )
-        assert http1.end_to_end(headers) == ((b"X-Other", b"2"),)
+        assert http1.end_to_end_headers(headers) == ((b"X-Other", b"2"),)
 
 
 class TestEncodeResponse:
@@ -69,15 +69,15 @@
 
     def test_headers_are_unchanged_except_for_the_length(self):
         """Headers keep their spelling and order; only Content-Length is added."""
-        response = http1.Answer(200, b"Fine", ((b"X-a", b"1"), (b"server", b"s")), b"body")
-        encoded = http1.encode_answer(response, with_body=True, closing=False)
+        response = http1.Response(200, b"Fine", ((b"X-a", b"1"), (b"server", b"s")), b"body")
+        encoded = http1.encode_response(response, with_body=True, closing=False)
         assert encoded == (
             b"HTTP/1.1 200 Fine\r\nX-a: 1\r\nserver: s\r\nContent-Length: 4\r\n\r\nbody"
         )
 
     def test_response_to_head_request_keeps_its_content_length(self):
         """No body is sent, and Content-Length stays that of the response to a GET request."""
-        response = http1.Answer(200, b"OK", ((b"Content-Length", b"99"),), b"")
-        encoded = http1.encode_answer(response, with_body=False, closing=True)
+        response = http1.Response(200, b"OK", ((b"Content-Length", b"99"),), b"")
+        encoded = http1.encode_response(response, with_body=False, closing=True)
         assert b"Content-Length: 99\r\n" in encoded
         assert encoded.endswith(b"Connection: close\r\n\r\n")
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -16,7 +16,7 @@
     2.0,
     0.5,
     1,
-    (routing.Share(ids.Service("one"), 1),),
+    (routing.WeightedService(ids.Service("one"), 1),),
     2,
     True,
 )
@@ -77,10 +77,10 @@
     def test_every_few_requests_follow_the_weights(self):
         """Over any hundred requests each part gets its share within one request."""
         shares = tuple(
-            routing.Share(ids.Service(name), weight)
+            routing.WeightedService(ids.Service(name), weight)
             for name, weight in (("one", 70), ("two", 25), ("three", 5))
         )
-        split = attrs.evolve(ROUTE, shares=shares)
+        split = attrs.evolve(ROUTE, weighted_services=shares)
         one = made()
         picked = [one.pick(split) for _ in range(1000)]
         for start in range(0, 900, 37):
--- a/tests/test_joint_sums.py
+++ b/tests/test_joint_sums.py
@@ -8,7 +8,7 @@
 import pytest
 
 import test_slot_desk as desks
-from carobhook.state import asks, ids, routing
+from carobhook.state import allocation, ids, routing
 from carobhook.transport import slot_shards
 
 COLD_PER_S = 5.0
@@ -76,7 +76,7 @@
             self.number += 1
             name = self.rng.choice(list(self.desks))
             now = self.clock.seconds()
-            wish = asks.Ask(
+            wish = allocation.SlotRequest(
                 ids.RequestId(f"{name}-{self.number}"),
                 desks.SERVICE,
                 "route",
@@ -95,14 +95,14 @@
 
     def granted(self, decision):
         """Note when a request goes to a server, and end it a little later."""
-        if not isinstance(decision, asks.SlotGrant):
+        if not isinstance(decision, allocation.SlotGrant):
             return
         if decision.ask_id in self.again:
             self.repeats.append(self.clock.seconds())
         self.sent[decision.server].append(self.clock.seconds())
         name = decision.ask_id.split("-")[0]
         self.clock.callLater(
-            0.2, self.desks[name].ended, decision.ask_id, asks.WorkEnd.ANSWERED
+            0.2, self.desks[name].ended, decision.ask_id, allocation.AttemptOutcome.ANSWERED
         )
 
     def beat(self):
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -38,7 +38,7 @@
     def test_shift_with_all_optional_clauses(self):
         """A shift keeps its share, emergency cap and rank."""
         text = "shift licences from addis to kigali by 20% emergency cap 5% per 10s for rank 2"
-        cap = statements.OwnCap(orders.Cap(0.05, 10.0), emergency=True)
+        cap = statements.CapOverride(orders.Cap(0.05, 10.0), emergency=True)
         assert language.parse(text) == statements.Shift(
             "licences", "addis", "kigali", 0.2, cap, 2
         )
@@ -74,7 +74,7 @@
     )
     def test_error_reports_column_word_and_expectation(self, text, column, word, hint):
         """The error has the column and the word, and its text names the expected words."""
-        with pytest.raises(language.SyntaxFaultError, match=re.escape(hint)) as caught:
+        with pytest.raises(language.StatementSyntaxError, match=re.escape(hint)) as caught:
             language.parse(text)
         assert (caught.value.column, caught.value.word) == (column, word)
 
@@ -92,4 +92,4 @@
     )
     def test_words_after_incomplete_statement(self, text, expected):
         """The valid next words are returned, and none after an invalid beginning."""
-        assert language.expected_after(text) == expected
+        assert language.completions(text) == expected
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -56,7 +56,7 @@
             ("line\nbreak", '"line\\nbreak"'),
             ("flöte", '"fl\\u00f6te"'),
             (("a", "b"), "a,b"),
-            (codes.Run.NOT_RUN, "not-run"),
+            (codes.RunStatus.NOT_RUN, "not-run"),
         ],
     )
     def test_value_is_quoted_when_needed(self, value, shown):
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -32,14 +32,14 @@
                 "missing": ["b"],
                 "seconds": 1.5,
             }
-            answer(http1.Answer(200, b"OK", (), json.dumps(state).encode()))
+            answer(http1.Response(200, b"OK", (), json.dumps(state).encode()))
             return
         self.seen.append((inbound.head.get("authorization"), json.loads(inbound.body)))
         given = self.script.pop(0)
         if given is None:
             self.listener.abort()
         else:
-            answer(http1.Answer(200, b"OK", (), given))
+            answer(http1.Response(200, b"OK", (), given))
 
 
 class OperatorCase(unittest.TestCase):
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -23,7 +23,7 @@
 
 def given(*texts, book=None, wall=1000.0):
     """Return the orders in force after some were given one after the other."""
-    book = book or orders.OrderBook()
+    book = book or orders.OrderState()
     for number, text in enumerate(texts, start=1):
         book = ordering.apply(language.parse(text), book, context(f"o{number}", wall=wall))
     return book
@@ -127,13 +127,13 @@
             "shift svc from north to south by 10% cap 5% per 10s for rank 1",
             "drain server s1 at 10:00 until 11:00",
         )
-        assert order_codec.book(order_codec.plain(book)) == book
+        assert order_codec.decode(order_codec.encode(book)) == book
 
     @pytest.mark.parametrize("value", [None, [], {"version": "x"}, {"shifts": [3]}])
     def test_malformed_orders_are_told_apart(self, value):
         """What another writer left there is a fault of its own kind."""
         with pytest.raises(order_codec.MalformedOrdersError):
-            order_codec.book(value)
+            order_codec.decode(value)
 
 
 class TestOrderStore:
@@ -206,4 +206,4 @@
         self.access._written = written
         fault = self.submit("set cap 20% per 10s").value
         assert fault.code is codes.Code.ORDER_UNKNOWN
-        assert fault.code.run is codes.Run.UNKNOWN
+        assert fault.code.run is codes.RunStatus.UNKNOWN
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -35,7 +35,7 @@
     one = steering.Steering(REGIONS)
     one.advance(SERVICES, 0.0, -1.0)
     one.offer(
-        orders.OrderBook(
+        orders.OrderState(
             ids.Version(1),
             tuple(m for m in moves if isinstance(m, orders.Shift)),
             tuple(m for m in moves if isinstance(m, orders.Drain)),
@@ -103,7 +103,7 @@
     def test_new_instance_takes_up_where_the_others_are(self):
         """An instance that starts while an order is half done moves no traffic back."""
         one = steering.Steering(REGIONS)
-        one.offer(orders.OrderBook(ids.Version(1), (shift(0.5),), cap=CAP))
+        one.offer(orders.OrderState(ids.Version(1), (shift(0.5),), cap=CAP))
         one.advance(SERVICES, 0.0, 35.0)
         assert round(one.share_of("o1"), 9) == 0.4
 
@@ -132,8 +132,8 @@
     def test_older_orders_never_replace_newer_ones(self):
         """An order in force never reverts because an old version is heard again."""
         one = steered(shift())
-        assert not one.offer(orders.OrderBook(ids.Version(1)))
-        assert not one.offer(orders.OrderBook(ids.Version(0)))
+        assert not one.offer(orders.OrderState(ids.Version(1)))
+        assert not one.offer(orders.OrderState(ids.Version(0)))
         assert one.book.shifts
 
     def test_rank_of_a_route_goes_before_the_configuration(self):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -5,7 +5,7 @@
 from twisted.internet.testing import StringTransport
 
 from carobhook import logs
-from carobhook.protocol import greetings, peer_codec, slot_messages
+from carobhook.protocol import membership_messages, peer_codec, slot_messages
 from carobhook.state import ids
 from carobhook.transport import peers
 
@@ -51,7 +51,7 @@
     def hello(self, nonce, key=KEY):
         """Return the frame of a hello."""
         proof = peers.hello_proof(key, nonce, NAME, RUN)
-        return peer_codec.CODEC.encode(greetings.Hello(NAME, RUN, proof))
+        return peer_codec.CODEC.encode(membership_messages.Hello(NAME, RUN, proof))
 
 
 @pytest.fixture
@@ -65,7 +65,7 @@
 
     def test_hello_and_messages_in_one_piece(self, acceptor):
         """Frames that come together with the hello are handled after it."""
-        wanted = slot_messages.SlotMoved(ids.RequestId("3"))
+        wanted = slot_messages.NotDispatcher(ids.RequestId("3"))
         data = acceptor.hello(acceptor.nonce) + peer_codec.CODEC.encode(wanted) * 2
         acceptor.stream.dataReceived(data[:-5])
         acceptor.stream.dataReceived(data[-5:])
@@ -78,7 +78,7 @@
             b"GET / HTTP/1.1\r\n\r\n",
             b"\xff" * 100,
             b"\xc6\x7f\xff\xff\xff",
-            peer_codec.CODEC.encode(slot_messages.SlotMoved(ids.RequestId("0"))),
+            peer_codec.CODEC.encode(slot_messages.NotDispatcher(ids.RequestId("0"))),
             b"\xdb\x00\xff\xff\xff" + b"x" * 100_000,
         ],
     )
--- a/tests/test_request_flow.py
+++ b/tests/test_request_flow.py
@@ -7,7 +7,7 @@
 from carobhook import request_trace
 from carobhook.platform import requests
 from carobhook.protocol import http1
-from carobhook.state import asks, codes, ids, routing
+from carobhook.state import allocation, codes, ids, routing
 from carobhook.transport import client_connections, request_flow, server_connections
 
 ONCE = routing.Idempotency.ONCE
@@ -30,12 +30,14 @@
     def grant(self, server="s1"):
         """Grant the ask that waits."""
         ask = self.asked[-1][0]
-        self.waiting.pop().callback(asks.SlotGrant(ask.id, ids.Server(server), "s:1", 0.1))
+        self.waiting.pop().callback(
+            allocation.SlotGrant(ask.id, ids.Server(server), "s:1", 0.1)
+        )
 
     def refuse(self, code=codes.Code.DEADLINE_UNMEETABLE):
         """Refuse the ask that waits."""
         ask = self.asked[-1][0]
-        self.waiting.pop().callback(asks.SlotRefusal(ask.id, code, 0.7, "running=4/4"))
+        self.waiting.pop().callback(allocation.SlotRefusal(ask.id, code, 0.7, "running=4/4"))
 
     def ended(self, ask_id, end):
         """Take a slot back."""
@@ -56,7 +58,7 @@
     def answer(self, status=200, **headers):
         """Answer the exchange that runs."""
         told = tuple((k.replace("_", "-").encode(), v.encode()) for k, v in headers.items())
-        answer = http1.Answer(status, b"Status", told, b"body")
+        answer = http1.Response(status, b"Status", told, b"body")
         self.running.pop().callback(server_connections.Received(answer, told, False))
 
     def fail(self, fault=server_connections.Fault.RESET):
@@ -83,7 +85,7 @@
             timeout_s,
             0.5,
             1,
-            (routing.Share(ids.Service("svc"), 1),),
+            (routing.WeightedService(ids.Service("svc"), 1),),
             attempts,
             False,
         )
@@ -206,7 +208,7 @@
         assert not one.over and not one.desk.ends
         one.clock.advance(2.0)
         one.servers.answer()
-        assert one.desk.ends == [asks.WorkEnd.ANSWERED]
+        assert one.desk.ends == [allocation.AttemptOutcome.ANSWERED]
         assert one.told == (0, codes.Code.CALLER_GONE)
         assert one.over
 
--- a/tests/test_rosters.py
+++ b/tests/test_rosters.py
@@ -5,7 +5,7 @@
 import pytest
 
 from carobhook.coordination import membership, rosters
-from carobhook.protocol import greetings, peer_codec
+from carobhook.protocol import membership_messages, peer_codec
 from carobhook.state import ids, members
 
 BEAT_S = 0.4
@@ -68,11 +68,11 @@
         if not self.reaches(sender, receiver):
             return
         one = self.rosters[receiver]
-        if isinstance(message, greetings.Heartbeat):
+        if isinstance(message, membership_messages.Heartbeat):
             if one.table.get(message.member.name) is None:
                 one.used(message.member.name, self.now)
                 live = tuple(m for m in one.table.live(self.now) if m.name != receiver)
-                known = greetings.RosterTold(live, (), True)
+                known = membership_messages.RosterUpdate(live, (), True)
                 one.heard(message.member, self.now)
                 self.send(receiver, sender, known)
             one.heard(message.member, self.now)
@@ -94,7 +94,7 @@
             if len(live) == 1 or self.now < 4.0:
                 wanted |= set(self.seeds) - {name}
             for other in sorted(wanted):
-                self.send(name, other, greetings.Heartbeat(own))
+                self.send(name, other, membership_messages.Heartbeat(own))
             for other, message in one.reports(self.now).items():
                 self.send(name, other, message)
 
--- a/tests/test_slot_desk.py
+++ b/tests/test_slot_desk.py
@@ -4,7 +4,7 @@
 
 from carobhook.coordination import catalog, membership, steering
 from carobhook.protocol import slot_messages
-from carobhook.state import asks, codes, ids, members, routing, servers
+from carobhook.state import allocation, codes, ids, members, routing, servers
 from carobhook.transport import slot_desk, slot_shards
 
 NORTH = ids.Region("north")
@@ -77,7 +77,7 @@
     def ask(self, name, number, target_s=1.0):
         """Ask at an instance; return where its answer arrives."""
         now = self.clock.seconds()
-        wish = asks.Ask(
+        wish = allocation.SlotRequest(
             ids.RequestId(f"{name}-{number}"),
             SERVICE,
             "route",
@@ -125,8 +125,8 @@
         first, second = one.ask("a", 1), one.ask("b", 1)
         third = one.ask("c", 1, target_s=9.0)
         assert [len(first), len(second), len(third)] == [1, 1, 0]
-        one.desks["a"].ended(ids.RequestId("a-1"), asks.WorkEnd.ANSWERED)
-        assert isinstance(third[0], asks.SlotGrant)
+        one.desks["a"].ended(ids.RequestId("a-1"), allocation.AttemptOutcome.ANSWERED)
+        assert isinstance(third[0], allocation.SlotGrant)
 
     def test_dispatcher_that_cannot_be_reached(self):
         """The ask is refused, as not run, as soon as a stream should stand again."""
@@ -138,7 +138,7 @@
         assert answers == []
         one.clock.pump([0.05] * 2)
         assert answers[0].code is codes.Code.DISPATCHER_SILENT
-        assert answers[0].code.run is codes.Run.NOT_RUN
+        assert answers[0].code.run is codes.RunStatus.NOT_RUN
 
     def test_stream_that_is_opened_anew_carries_what_waits(self):
         """After a restart of all, streams stand a moment later than instances are ready."""
@@ -149,7 +149,7 @@
         one.clock.advance(0.1)
         one.cut.clear()
         one.clock.advance(0.05)
-        assert isinstance(answers[0], asks.SlotGrant)
+        assert isinstance(answers[0], allocation.SlotGrant)
         one.clock.pump([0.05] * 10)
         assert len(answers) == 1
 
@@ -158,10 +158,12 @@
         one = Deployment("a", "b", slots=1)
         one.ask("a", 1)
         now = one.clock.seconds()
-        wish = asks.Ask(ids.RequestId("b-9"), SERVICE, "route", None, 1, now + 9.0, now + 9.0)
+        wish = allocation.SlotRequest(
+            ids.RequestId("b-9"), SERVICE, "route", None, 1, now + 9.0, now + 9.0
+        )
         one.desks["b"].ask(wish, NORTH).addErrback(lambda _: None).cancel()
-        one.desks["a"].ended(ids.RequestId("a-1"), asks.WorkEnd.ANSWERED)
-        assert isinstance(one.ask("a", 2)[0], asks.SlotGrant)
+        one.desks["a"].ended(ids.RequestId("a-1"), allocation.AttemptOutcome.ANSWERED)
+        assert isinstance(one.ask("a", 2)[0], allocation.SlotGrant)
 
 
 class TestTakeover:
@@ -178,8 +180,10 @@
         one.lose(before)
         assert one.owner != before
         assert waiting == []
-        one.desks[others[0]].ended(ids.RequestId(f"{others[0]}-1"), asks.WorkEnd.ANSWERED)
-        assert isinstance(waiting[0], asks.SlotGrant)
+        one.desks[others[0]].ended(
+            ids.RequestId(f"{others[0]}-1"), allocation.AttemptOutcome.ANSWERED
+        )
+        assert isinstance(waiting[0], allocation.SlotGrant)
 
     def test_slots_that_another_instance_holds_count_at_once(self):
         """A new dispatcher gives out no slot that an instance holds which has not told yet."""
@@ -192,8 +196,10 @@
         one.lose(before)
         assert one.owner != before
         assert waiting == []
-        one.desks[others[1]].ended(ids.RequestId(f"{others[1]}-1"), asks.WorkEnd.ANSWERED)
-        assert isinstance(waiting[0], asks.SlotGrant)
+        one.desks[others[1]].ended(
+            ids.RequestId(f"{others[1]}-1"), allocation.AttemptOutcome.ANSWERED
+        )
+        assert isinstance(waiting[0], allocation.SlotGrant)
 
     def test_slots_that_are_not_told_hold_up_nothing_for_long(self):
         """An instance that does not tell of its slots is waited for only a moment."""
@@ -209,7 +215,7 @@
         assert answers == []
         one.clock.advance(0.25)
         one.desks[after].tick()
-        assert isinstance(answers[0], asks.SlotGrant)
+        assert isinstance(answers[0], allocation.SlotGrant)
 
     def test_slots_of_an_instance_that_ends_are_freed(self):
         """Its requests end with it."""
@@ -220,7 +226,7 @@
         waiting = one.ask(other, 1, target_s=9.0)
         assert waiting == []
         one.lose(gone)
-        assert isinstance(waiting[0], asks.SlotGrant)
+        assert isinstance(waiting[0], allocation.SlotGrant)
 
     def test_instance_that_is_not_the_dispatcher_says_so(self):
         """It gives out nothing, and the one that asked looks again."""
@@ -229,7 +235,7 @@
         sent = []
         one.desks[wrong]._peers.send = lambda name, message: sent.append(message) or True
         now = one.clock.seconds()
-        message = slot_messages.SlotAsked(
+        message = slot_messages.SlotRequested(
             ids.RequestId("x"),
             NORTH,
             SERVICE,
@@ -244,4 +250,4 @@
             ZONE,
         )
         one.desks[wrong].received(ids.InstanceId("elsewhere"), message)
-        assert sent == [slot_messages.SlotMoved(ids.RequestId("x"))]
+        assert sent == [slot_messages.NotDispatcher(ids.RequestId("x"))]
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -117,7 +117,7 @@
         sender = self.hub("sender", sending)
         address = receiver._own_address
         sender.connect(address)
-        wanted = slot_messages.SlotMoved(ids.RequestId("3"))
+        wanted = slot_messages.NotDispatcher(ids.RequestId("3"))
         for _ in range(int(wait_s / 0.05)):
             if sender.send(address, wanted) or arrived.called:
                 break
@@ -136,7 +136,7 @@
 
         arrived = await self.exchange(self.contexts(authority), self.contexts(authority))
 
-        assert arrived == ("sender", slot_messages.SlotMoved(ids.RequestId("3")))
+        assert arrived == ("sender", slot_messages.NotDispatcher(ids.RequestId("3")))
 
     async def test_strangers_are_refused(self):
         """Neither another authority's certificate nor plain TCP gets a stream."""
@@ -156,7 +156,7 @@
         files = write(self.mktemp(), authority, issue("one", authority))
         other = write(self.mktemp(), issue("other"), issue("x"))
         context = tls.load(files).server
-        table = http1.Answer(200, b"OK", (), b'{"code": 2002, "text": "fine"}')
+        table = http1.Response(200, b"OK", (), b'{"code": 2002, "text": "fine"}')
         listener = client_connections.ClientListener(
             reactor, lambda request, answer: answer(table), routing.ClientLimits, 8, 1024
         )
