--- a/src/carobhook/platform/__init__.py
+++ b/src/carobhook/platform/__init__.py
@@ -1,1 +1,1 @@
-"""What the users' platform speaks: names, formats and calls. Nothing here decides."""
+"""Adapter to the users' platform: its names, formats and calls. It makes no decisions."""
--- a/src/carobhook/platform/durations.py
+++ b/src/carobhook/platform/durations.py
@@ -1,4 +1,4 @@
-"""Times as the platform writes them: a number with the unit ms or s."""
+"""Durations in the platform's notation: a number with the unit ms or s."""
 
 import re
 
@@ -6,13 +6,13 @@
 
 
 def seconds(value: object) -> float:
-    """Return the seconds of a text such as ``1500ms`` or ``2.5s``.
+    """Return the seconds of a duration such as ``1500ms`` or ``2.5s``.
 
     Args:
         value: The text.
 
     Raises:
-        ValueError: The value is not such a text.
+        ValueError: The value is not a text of this form.
     """
     match = _DURATION.fullmatch(value) if isinstance(value, str) else None
     if match is None:
--- a/src/carobhook/platform/names.py
+++ b/src/carobhook/platform/names.py
@@ -1,9 +1,17 @@
-"""Header names and paths of the platform's protocol."""
+"""Header names, paths and object kinds of the platform's protocol.
+
+The platform calls a backend server an instance. In this program an instance is an entry
+instance, so the constants below say "server".
+"""
 
 REQUEST_ID = "x-attempt-id"
+# Milliseconds for which the client still waits, not a point in time.
 TIME_LEFT_MS = "x-deadline-ms"
+# Key of the object that the request concerns.
 OBJECT_KEY = "x-affinity-key"
+# Id of the backend server that the request is meant for.
 EXPECTED_SERVER = "x-expected-instance"
+# Id of the backend server that answered.
 SERVER_ID = "x-instance-id"
 NOT_EXECUTED = "x-not-executed"
 
--- a/src/carobhook/platform/objects.py
+++ b/src/carobhook/platform/objects.py
@@ -1,47 +1,47 @@
-"""Decodes the store's objects into the types that the rest of the program uses."""
+"""Decodes objects of the platform's store into the types of `carobhook.state`."""
 
 import typing
 
 from carobhook.platform import durations
 from carobhook.state import ids, routing, servers
 
-_IDEMPOTENCY = {
+_IDEMPOTENCY_OF_KIND = {
     "safe": routing.Idempotency.REPEATABLE,
     "download": routing.Idempotency.REPEATABLE,
     "unsafe": routing.Idempotency.ONCE,
 }
-_STATES = {
+_SERVER_STATES = {
     "ready": servers.ServerState.READY,
     "draining": servers.ServerState.DRAINING,
 }
 
 
 class MalformedObjectError(ValueError):
-    """An object of the store does not hold what its kind promises."""
+    """A field of a stored object is missing or has an invalid value."""
 
 
-def name_of(plain: typing.Any) -> str:
+def object_name(raw: typing.Any) -> str:
     """Return the name of a stored object.
 
     Raises:
-        MalformedObjectError: It has none.
+        MalformedObjectError: The object has no name.
     """
-    return _field(_field(plain, "Metadata", dict), "Name", str)
+    return _require(_require(raw, "Metadata", dict), "Name", str)
 
 
 def config(spec: typing.Any) -> routing.RoutingConfig:
-    """Return the routing configuration of a stored object's ``Spec``.
+    """Decode the routing configuration from the ``Spec`` of a stored object.
 
     Raises:
-        MalformedObjectError: A field is missing or of the wrong type.
+        MalformedObjectError: A field is missing or has an invalid value.
     """
     try:
-        policies = [_service(item) for item in _field(spec, "Services", list)]
+        policies = [_decode_service(item) for item in _require(spec, "Services", list)]
         return routing.RoutingConfig(
-            version=int(_field(spec, "ConfigVersion", str), 16),
-            routes=tuple(_route(item) for item in _field(spec, "Routes", list)),
+            version=int(_require(spec, "ConfigVersion", str), 16),
+            routes=tuple(_decode_route(item) for item in _require(spec, "Routes", list)),
             services={policy.name: policy for policy in policies},
-            limits=_limits(_field(spec, "Limits", dict)),
+            limits=_decode_limits(_require(spec, "Limits", dict)),
         )
     except MalformedObjectError:
         raise
@@ -49,95 +49,105 @@
         raise MalformedObjectError(f"config: {error}") from error
 
 
-def server(plain: typing.Any) -> servers.ServerEntry:
-    """Return the backend server of a stored object.
+def server(raw: typing.Any) -> servers.ServerEntry:
+    """Decode the entry of a backend server from a stored object.
 
     Raises:
-        MalformedObjectError: A field is missing or of the wrong type.
+        MalformedObjectError: A field is missing or has an invalid value.
     """
-    spec = _field(plain, "Spec", dict)
-    # A server writes its lasting facts under Info and its changing ones under Status; the
-    # latter may stand in the object's own Status, which is the newer place.
-    info = _field(spec, "Info", dict)
-    status = plain.get("Status") or spec.get("Status")
+    spec = _require(raw, "Spec", dict)
+    # Spec.Info holds the facts that do not change while a server runs, Status those that do.
+    # Status is a table of the object itself or of its Spec; the former is the newer place and
+    # has precedence. Its fields may be nested in a second table named Status.
+    info = _require(spec, "Info", dict)
+    status = raw.get("Status") or spec.get("Status")
     if not isinstance(status, dict):
         raise MalformedObjectError(f"Status must be a table, got {status!r:.60}")
     status = status.get("Status", status)
-    state = _STATES.get(_field(status, "State", str))
+    state = _SERVER_STATES.get(_require(status, "State", str))
     if state is None:
         raise MalformedObjectError(f"State must be known, got {status['State']!r:.40}")
-    slots = _field(info, "Slots", int)
+    slots = _require(info, "Slots", int)
     if slots < 1:
         raise MalformedObjectError(f"Slots must be at least 1, got {slots}")
-    address = _field(spec, "Address", str)
+    address = _require(spec, "Address", str)
     if not address.rpartition(":")[2].isdigit():
         raise MalformedObjectError(f"Address must be host:port, got {address!r:.40}")
     try:
         cold_s = durations.seconds(status.get("ColdRemaining", "0ms"))
     except ValueError as error:
         raise MalformedObjectError(f"ColdRemaining: {error}") from error
-    born = spec.get("born", plain.get("born"))
+    # "born" is the Unix time of the server's start in milliseconds.
+    started_at_ms = spec.get("born", raw.get("born"))
     return servers.ServerEntry(
-        name=ids.Server(name_of(plain)),
-        service=ids.Service(_field(info, "Service", str)),
-        zone=ids.FailureDomain(_field(info, "Zone", str)),
+        name=ids.Server(object_name(raw)),
+        service=ids.Service(_require(info, "Service", str)),
+        zone=ids.FailureDomain(_require(info, "Zone", str)),
         address=address,
         slots=slots,
         state=state,
         cold_s=cold_s,
-        started_at_ms=born if isinstance(born, int) and not isinstance(born, bool) else None,
+        started_at_ms=started_at_ms
+        if isinstance(started_at_ms, int) and not isinstance(started_at_ms, bool)
+        else None,
     )
 
 
-def _route(plain: typing.Any) -> routing.Route:
-    if plain.get("TrafficSplit"):
+def _decode_route(raw: typing.Any) -> routing.Route:
+    if raw.get("TrafficSplit"):
         shares = tuple(
-            routing.Share(ids.Service(_field(part, "Service", str)), part["Weight"])
-            for part in plain["TrafficSplit"]
+            routing.Share(ids.Service(_require(split, "Service", str)), split["Weight"])
+            for split in raw["TrafficSplit"]
         )
     else:
-        shares = (routing.Share(ids.Service(_field(plain, "Service", str)), 1),)
-    kind = _field(plain, "Kind", str)
+        shares = (routing.Share(ids.Service(_require(raw, "Service", str)), 1),)
+    # Kind says whether requests of the route may run more than once.
+    kind = _require(raw, "Kind", str)
     return routing.Route(
-        name=_field(plain, "Name", str),
-        host=_field(plain, "Host", str),
-        prefix=_field(plain, "PathPrefix", str),
-        # An unknown kind is never repeated.
-        idempotency=_IDEMPOTENCY.get(kind, routing.Idempotency.ONCE),
-        timeout_s=durations.seconds(plain["Timeout"]),
-        target_s=durations.seconds(plain["TargetLatency"]),
-        priority=int(plain.get("Priority", 0)),
+        name=_require(raw, "Name", str),
+        host=_require(raw, "Host", str),
+        prefix=_require(raw, "PathPrefix", str),
+        # Requests of an unknown kind are never sent twice.
+        idempotency=_IDEMPOTENCY_OF_KIND.get(kind, routing.Idempotency.ONCE),
+        timeout_s=durations.seconds(raw["Timeout"]),
+        target_s=durations.seconds(raw["TargetLatency"]),
+        priority=int(raw.get("Priority", 0)),
         shares=shares,
-        max_attempts=max(1, int(plain.get("MaxAttempts", 1))),
-        keeps_objects=bool(plain.get("SessionAffinity", False)),
-        homes=frozenset(ids.Region(home) for home in plain.get("HomeRegions") or ()),
+        max_attempts=max(1, int(raw.get("MaxAttempts", 1))),
+        keeps_objects=bool(raw.get("SessionAffinity", False)),
+        homes=frozenset(ids.Region(home) for home in raw.get("HomeRegions") or ()),
     )
 
 
-def _service(plain: typing.Any) -> routing.ServicePolicy:
+def _decode_service(raw: typing.Any) -> routing.ServicePolicy:
     return routing.ServicePolicy(
-        name=ids.Service(_field(plain, "Name", str)),
-        health_path=_field(plain, "HealthPath", str),
-        max_connections=int(plain.get("MaxConnections", 1024)),
-        cold_start_s=durations.seconds(plain.get("ColdStart", "0s")),
-        cold_per_s=float(plain.get("ColdPerS", 0.0)),
+        name=ids.Service(_require(raw, "Name", str)),
+        health_path=_require(raw, "HealthPath", str),
+        max_connections=int(raw.get("MaxConnections", 1024)),
+        cold_start_s=durations.seconds(raw.get("ColdStart", "0s")),
+        cold_per_s=float(raw.get("ColdPerS", 0.0)),
     )
 
 
-def _limits(plain: typing.Any) -> routing.ClientLimits:
+def _decode_limits(raw: typing.Any) -> routing.ClientLimits:
     return routing.ClientLimits(
-        max_header_bytes=_field(plain, "MaxHeaderBytes", int),
-        max_body_bytes=_field(plain, "MaxBodyBytes", int),
-        header_timeout_s=durations.seconds(plain["HeaderTimeout"]),
-        idle_timeout_s=durations.seconds(plain["IdleTimeout"]),
+        max_header_bytes=_require(raw, "MaxHeaderBytes", int),
+        max_body_bytes=_require(raw, "MaxBodyBytes", int),
+        header_timeout_s=durations.seconds(raw["HeaderTimeout"]),
+        idle_timeout_s=durations.seconds(raw["IdleTimeout"]),
     )
 
 
 _T = typing.TypeVar("_T")
 
 
-def _field(plain: typing.Any, key: str, kind: type[_T]) -> _T:
-    value = plain.get(key) if isinstance(plain, dict) else None
-    if not isinstance(value, kind) or isinstance(value, bool):
-        raise MalformedObjectError(f"{key} must be {kind.__name__}, got {value!r:.60}")
+def _require(raw: typing.Any, key: str, expected_type: type[_T]) -> _T:
+    """Return a field of an object.
+
+    Raises:
+        MalformedObjectError: The field is missing, of another type or a bool.
+    """
+    value = raw.get(key) if isinstance(raw, dict) else None
+    if not isinstance(value, expected_type) or isinstance(value, bool):
+        raise MalformedObjectError(f"{key} must be {expected_type.__name__}, got {value!r:.60}")
     return value
--- a/src/carobhook/platform/requests.py
+++ b/src/carobhook/platform/requests.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers as the platform's clients and servers use them."""
+"""Codec of the headers and directory lookups of the platform's clients and servers."""
 
 import json
 
@@ -7,102 +7,106 @@
 from carobhook.state import asks, ids
 from carobhook.transport import client_connections
 
-_LONGEST_MS = 24 * 3600 * 1000
-_DROPPED = frozenset(
+_MAX_TIME_LEFT_MS = 24 * 3600 * 1000
+# Headers of the client's request that are set anew in the request to the server.
+_REPLACED_HEADERS = frozenset(
     name.encode() for name in (names.TIME_LEFT_MS, names.EXPECTED_SERVER, "content-length")
 )
 
 
 def request_id(head: http1.RequestHead) -> str | None:
-    """Return the id that a client gave to its attempt, or None."""
+    """Return the id that the client gave its attempt, or None."""
     return head.get(names.REQUEST_ID)
 
 
 def object_key(head: http1.RequestHead) -> str | None:
-    """Return the object that a request concerns, or None."""
+    """Return the key of the object that a request concerns, or None."""
     return head.get(names.OBJECT_KEY)
 
 
 def time_left_s(head: http1.RequestHead) -> float | None:
-    """Return how long the client waits, in seconds, or None if it does not say.
+    """Return the seconds for which the client still waits, or None without the header.
 
     Raises:
-        ValueError: The header is no number.
+        ValueError: The header is not a number.
     """
-    return http1.told_s(head, names.TIME_LEFT_MS, _LONGEST_MS)
+    return http1.told_s(head, names.TIME_LEFT_MS, _MAX_TIME_LEFT_MS)
 
 
 class ServerWire:
-    """Writes requests for servers, and reads what their answers say."""
+    """Encodes request heads for backend servers and interprets their responses."""
 
     def outgoing(
         self, head: http1.RequestHead, server: ids.Server, time_left_s: float
     ) -> http1.RequestHead:
-        """Return the head of a request as a server gets it.
+        """Return the head of a request as it is sent to a backend server.
 
         Args:
-            head: The client's request.
-            server: The server that it is meant for.
-            time_left_s: Seconds after which nobody waits for the answer.
+            head: Head of the client's request.
+            server: Id of the server that is to run it.
+            time_left_s: Seconds until the deadline of the request.
         """
         headers = [
             (name, value)
             for name, value in http1.end_to_end(head.headers)
-            if name.lower() not in _DROPPED
+            if name.lower() not in _REPLACED_HEADERS
         ]
-        left_ms = max(1, int(time_left_s * 1000))
-        headers.append((names.TIME_LEFT_MS.encode(), str(left_ms).encode()))
+        time_left_ms = max(1, int(time_left_s * 1000))
+        headers.append((names.TIME_LEFT_MS.encode(), str(time_left_ms).encode()))
         headers.append((names.EXPECTED_SERVER.encode(), server.encode()))
         return http1.RequestHead(head.method, head.target, tuple(headers))
 
-    def belongs(self, answer: http1.Answer, client_id: str | None) -> bool:
-        """Tell whether an answer is one to a client's attempt; without an id it is.
+    def belongs(self, response: http1.Answer, client_id: str | None) -> bool:
+        """Return whether a response belongs to a client's attempt.
+
+        A response without an id, or to an attempt without one, counts as belonging to it.
 
         Args:
-            answer: The answer.
-            client_id: Id of the client's attempt that was sent.
+            response: Response of a backend server.
+            client_id: Id that the client gave the attempt, or None.
         """
-        echoed = answer.get(names.REQUEST_ID)
-        return echoed is None or client_id is None or echoed == client_id
+        response_id = response.get(names.REQUEST_ID)
+        return response_id is None or client_id is None or response_id == client_id
 
-    def work_end(self, answer: http1.Answer) -> asks.WorkEnd:
-        """Return what an answer says of its server."""
-        if answer.status == 421:
+    def work_end(self, response: http1.Answer) -> asks.WorkEnd:
+        """Return the outcome of an attempt that a backend server responded to."""
+        if response.status == 421:
             return asks.WorkEnd.MISDIRECTED
-        if answer.get(names.NOT_EXECUTED) is not None:
+        if response.get(names.NOT_EXECUTED) is not None:
             return asks.WorkEnd.SHED
-        if answer.status >= 500:
+        if response.status >= 500:
             return asks.WorkEnd.FAILED
         return asks.WorkEnd.ANSWERED
 
 
 def directory_query(target: bytes) -> own_calls.Lookup | None:
-    """Return what a client that asks where to connect says of itself.
+    """Parse the target of a request to the directory.
 
     Args:
         target: Request target.
 
     Returns:
-        None if the target asks for something else.
+        The client's region and failure domain, which the platform calls zone; empty where the
+        client does not send them. None if the path is another one.
     """
     path, _, query = target.decode("latin-1").partition("?")
     if path != names.RESOLVE_PATH:
         return None
-    fields = dict(part.partition("=")[::2] for part in query.split("&") if part)
+    parameters = dict(part.partition("=")[::2] for part in query.split("&") if part)
     return own_calls.Lookup(
-        ids.Region(fields.get("Region", "")), ids.FailureDomain(fields.get("Zone", ""))
+        ids.Region(parameters.get("Region", "")), ids.FailureDomain(parameters.get("Zone", ""))
     )
 
 
 def directory_answer(addresses: list[str], ttl_s: float) -> http1.Answer:
-    """Return the answer that tells a client where to connect.
+    """Return the response to a directory lookup.
 
     Args:
-        addresses: Addresses for requests, best first; without any, it says so by its status.
-        ttl_s: Seconds for which clients may keep it.
+        addresses: Addresses for requests, best first; an empty list gives status 503.
+        ttl_s: Seconds for which clients may cache the response.
     """
     if not addresses:
         return client_connections.own_answer(503)
-    plain = {"Addresses": addresses, "Ttl": f"{round(ttl_s * 1000)}ms"}
+    body = {"Addresses": addresses, "Ttl": f"{round(ttl_s * 1000)}ms"}
     headers = ((b"Content-Type", b"application/json"),)
-    return http1.Answer(200, b"OK", headers, json.dumps(plain).encode())
+    return http1.Answer(200, b"OK", headers, json.dumps(body).encode())
--- a/src/carobhook/platform/store.py
+++ b/src/carobhook/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store; implements `coordination.objects.ObjectStore`."""
+"""HTTP client of the platform's store; implements `coordination.objects.ObjectStore`."""
 
 import json
 import math
@@ -14,24 +14,25 @@
 from carobhook.transport import server_connections
 
 _JSON = b"application/json"
-# A watch is answered this much after its wait at the latest, else its connection is silent.
+# The store answers a watch when its wait is over. Without an answer this much later, the
+# connection counts as dead and the watch fails.
 _WATCH_MARGIN_S = 0.7
-# There is no such object, so the answer is short.
+# No object of this name exists, so that a probe costs the store only a short 404.
 _PROBE_KIND = "probes"
 _PROBE_NAME = "none"
 
 
 class PlatformStore:
-    """Calls of the platform's store over HTTP.
+    """Client of the platform's store.
 
-    The value of an object is its ``Spec``; for the kinds in ``whole_kinds`` it is the object as
-    the store gives it, because others write their ``Status`` too.
+    The value of an object is its ``Spec``. For the kinds in ``full_object_kinds`` it is the
+    whole object with ``Metadata`` and ``Status``, because other writers set the ``Status``.
 
     Args:
         reactor: Source of time and timers.
         address: ``host:port`` of the store.
-        timeout_s: Seconds after which a call is given up.
-        whole_kinds: Kinds whose objects are given whole.
+        timeout_s: Seconds after which a call is cancelled.
+        full_object_kinds: Kinds whose values are whole objects.
     """
 
     def __init__(
@@ -39,19 +40,19 @@
         reactor: typing.Any,
         address: str,
         timeout_s: float,
-        whole_kinds: Collection[str] = (),
+        full_object_kinds: Collection[str] = (),
     ) -> None:
         self._reactor = reactor
         self._address = address
         self._timeout_s = timeout_s
-        self._whole_kinds = frozenset(whole_kinds)
+        self._full_object_kinds = frozenset(full_object_kinds)
         self._connections = server_connections.ServerConnections(reactor, timeout_s)
         self._calls = 0
         self._answered_at = -math.inf
 
     @property
     def answered_at(self) -> float:
-        """Return the monotonic time in seconds of the last call that the store carried out."""
+        """Return the monotonic time in seconds of the last successful read, -inf before."""
         return self._answered_at
 
     @property
@@ -61,10 +62,10 @@
 
     async def get(self, kind: str, name: str) -> objects.StoredObject | None:
         """Return one object, or None if there is none."""
-        answer = await self._read(_path(kind, name), self._timeout_s)
-        if answer.status == 404:
+        response = await self._read(_object_path(kind, name), self._timeout_s)
+        if response.status == 404:
             return None
-        return self._stored(kind, _body(answer))
+        return self._decode_object(kind, _decode_body(response))
 
     async def list(self, kind: str) -> objects.Listing:
         """Return all objects of one kind, from all pages."""
@@ -73,28 +74,29 @@
         after = ""
         while True:
             query = f"?after={urllib.parse.quote(after, safe='')}" if after else ""
-            page = _body(await self._read(_path(kind) + query, self._timeout_s))
-            found = [self._stored(kind, plain) for plain in page.get("items") or ()]
-            items += found
-            # Changes since the first page are asked for again by the watch.
+            page = _decode_body(await self._read(_object_path(kind) + query, self._timeout_s))
+            page_items = [self._decode_object(kind, raw) for raw in page.get("items") or ()]
+            items += page_items
+            # The listing has the revision of its first page, so that the watch that follows
+            # reports the changes made while the other pages were read.
             revision = page["CurrentRev"] if revision is None else revision
-            if not page.get("More") or not found:
+            if not page.get("More") or not page_items:
                 return objects.Listing(revision, tuple(items))
-            after = found[-1].name
+            after = page_items[-1].name
 
     async def create(self, kind: str, name: str, value: typing.Any) -> int:
         """Create an object; return its version."""
-        plain = {"Metadata": {"Name": name}, "Spec": value}
-        return await self._write(b"POST", _path(kind), plain)
+        payload = {"Metadata": {"Name": name}, "Spec": value}
+        return await self._write(b"POST", _object_path(kind), payload)
 
     async def update(self, kind: str, name: str, value: typing.Any, version: int) -> int:
         """Replace an object whose version is still ``version``; return its new version."""
-        plain = {"Metadata": {"Name": name, "Revision": version}, "Spec": value}
-        return await self._write(b"PUT", _path(kind, name), plain)
+        payload = {"Metadata": {"Name": name, "Revision": version}, "Spec": value}
+        return await self._write(b"PUT", _object_path(kind, name), payload)
 
     async def delete(self, kind: str, name: str, version: int) -> None:
         """Delete an object whose version is still ``version``."""
-        await self._write(b"DELETE", f"{_path(kind, name)}?Revision={version}", None)
+        await self._write(b"DELETE", f"{_object_path(kind, name)}?Revision={version}", None)
 
     async def watch(
         self, kinds: Sequence[str], since: int, wait_s: float
@@ -102,28 +104,28 @@
         """Return the events of one kind after ``since``, waiting for the first.
 
         Raises:
-            ValueError: More than one kind was asked for; the store watches one at a time.
+            ValueError: There is not exactly one kind, which is all that the store can watch.
         """
         if len(kinds) != 1:
             raise ValueError(f"kinds must be one kind, got {list(kinds)!r}")
-        path = f"{_path(kinds[0])}?Watch={since}&WaitMs={round(wait_s * 1000)}"
-        body = _body(await self._read(path, wait_s + _WATCH_MARGIN_S))
-        events = tuple(self._event(kinds[0], since, event) for event in body["events"])
+        path = f"{_object_path(kinds[0])}?Watch={since}&WaitMs={round(wait_s * 1000)}"
+        body = _decode_body(await self._read(path, wait_s + _WATCH_MARGIN_S))
+        events = tuple(self._decode_event(kinds[0], since, event) for event in body["events"])
         return objects.WatchBatch(body["CurrentRev"], events)
 
     async def probe(self, timeout_s: float) -> None:
-        """Find out whether the store answers, at the least price.
+        """Check by the cheapest call whether the store is available.
 
         Args:
-            timeout_s: Seconds after which it counts as not answering.
+            timeout_s: Seconds to wait for the response.
 
         Raises:
-            objects.UnavailableError: It does not answer, or refuses.
+            objects.UnavailableError: The store did not respond or refused the call.
         """
-        await self._read(_path(_PROBE_KIND, _PROBE_NAME) + "?StaleOk=1", timeout_s)
+        await self._read(_object_path(_PROBE_KIND, _PROBE_NAME) + "?StaleOk=1", timeout_s)
 
     def close_idle(self, now: float) -> None:
-        """Close connections that were idle for too long."""
+        """Close connections that have been idle for too long."""
         self._connections.close_idle(now)
 
     def stop(self) -> None:
@@ -132,93 +134,94 @@
 
     async def _read(self, path: str, timeout_s: float) -> http1.Answer:
         try:
-            answer = await self._call(b"GET", path, None, timeout_s)
-        except (server_connections.ExchangeError, TimeoutError) as problem:
-            raise objects.UnavailableError(f"GET {path}: {problem}") from problem
-        if answer.status == 410:
+            response = await self._call(b"GET", path, None, timeout_s)
+        except (server_connections.ExchangeError, TimeoutError) as error:
+            raise objects.UnavailableError(f"GET {path}: {error}") from error
+        if response.status == 410:
             raise objects.ExpiredError(path)
-        if answer.status not in (200, 404):
-            raise objects.UnavailableError(f"GET {path}: status {answer.status}")
+        if response.status not in (200, 404):
+            raise objects.UnavailableError(f"GET {path}: status {response.status}")
         self._answered_at = self._reactor.seconds()
-        return answer
+        return response
 
-    async def _write(self, method: bytes, path: str, plain: typing.Any) -> int:
+    async def _write(self, method: bytes, path: str, payload: typing.Any) -> int:
         try:
-            answer = await self._call(method, path, plain, self._timeout_s)
-        except TimeoutError as problem:
-            raise objects.OutcomeUnknownError(f"{path}: {problem}") from problem
-        except server_connections.ExchangeError as problem:
-            if problem.fault is server_connections.Fault.CONNECT:
-                raise objects.UnavailableError(f"{path}: {problem}") from problem
-            raise objects.OutcomeUnknownError(f"{path}: {problem}") from problem
-        if answer.status == 409 or (answer.status == 404 and method != b"POST"):
-            raise objects.ConflictError(f"{path}: status {answer.status}")
-        if answer.status == 413:
+            response = await self._call(method, path, payload, self._timeout_s)
+        except TimeoutError as error:
+            raise objects.OutcomeUnknownError(f"{path}: {error}") from error
+        except server_connections.ExchangeError as error:
+            if error.fault is server_connections.Fault.CONNECT:
+                raise objects.UnavailableError(f"{path}: {error}") from error
+            raise objects.OutcomeUnknownError(f"{path}: {error}") from error
+        if response.status == 409 or (response.status == 404 and method != b"POST"):
+            raise objects.ConflictError(f"{path}: status {response.status}")
+        if response.status == 413:
             raise objects.TooLargeError(path)
-        if answer.status not in (200, 201, 204):
-            raise objects.UnavailableError(f"{path}: status {answer.status}")
+        if response.status not in (200, 201, 204):
+            raise objects.UnavailableError(f"{path}: status {response.status}")
         if method == b"DELETE":
             return 0
-        return typing.cast(int, _body(answer)["Metadata"]["Revision"])
+        return typing.cast(int, _decode_body(response)["Metadata"]["Revision"])
 
     async def _call(
-        self, method: bytes, path: str, plain: typing.Any, timeout_s: float
+        self, method: bytes, path: str, payload: typing.Any, timeout_s: float
     ) -> http1.Answer:
-        """Make one call.
+        """Send one call and return its response.
 
         Raises:
-            TimeoutError: No answer came in time; the connection is closed.
-            server_connections.ExchangeError: There is no whole answer.
+            TimeoutError: No response came in time; the connection was closed.
+            server_connections.ExchangeError: The exchange failed without a whole response.
         """
         self._calls += 1
         headers = [(b"Host", self._address.encode())]
         body = b""
-        if plain is not None:
+        if payload is not None:
             headers.append((b"Content-Type", _JSON))
-            body = json.dumps(plain, separators=(",", ":")).encode()
+            body = json.dumps(payload, separators=(",", ":")).encode()
         head = http1.RequestHead(method, path.encode(), tuple(headers))
-        calling = defer.ensureDeferred(
+        pending = defer.ensureDeferred(
             self._connections.exchange(self._address, head, body, careful=False)
         )
-        timer = self._reactor.callLater(timeout_s, calling.cancel)
+        timer = self._reactor.callLater(timeout_s, pending.cancel)
         try:
-            received = await calling
-        except defer.CancelledError as problem:
+            received = await pending
+        except defer.CancelledError as error:
             if timer.active():
                 raise
             self._connections.distrust(self._address)
-            raise TimeoutError(f"no answer in {timeout_s:g} s") from problem
+            raise TimeoutError(f"no answer in {timeout_s:g} s") from error
         finally:
             if timer.active():
                 timer.cancel()
         return typing.cast(server_connections.Received, received).answer
 
-    def _stored(self, kind: str, plain: typing.Any) -> objects.StoredObject:
-        meta = plain["Metadata"]
-        value = plain if kind in self._whole_kinds else plain.get("Spec")
+    def _decode_object(self, kind: str, raw: typing.Any) -> objects.StoredObject:
+        meta = raw["Metadata"]
+        value = raw if kind in self._full_object_kinds else raw.get("Spec")
         return objects.StoredObject(kind, meta["Name"], meta["Revision"], value)
 
-    def _event(self, kind: str, since: int, event: typing.Any) -> objects.WatchEvent:
-        stored = self._stored(kind, event["Object"])
+    def _decode_event(self, kind: str, since: int, event: typing.Any) -> objects.WatchEvent:
+        stored = self._decode_object(kind, event["Object"])
         if not event["Removed"]:
             return objects.WatchEvent(kind, stored.name, stored.version, stored.value)
-        # A removal may show the revision of the object's last change, which is older.
+        # The event of a removal may have the revision of the object's last change, which is
+        # older than the removal.
         version = max(stored.version, since + 1)
         return objects.WatchEvent(kind, stored.name, version, None)
 
 
-def _path(kind: str, name: str | None = None) -> str:
+def _object_path(kind: str, name: str | None = None) -> str:
     path = names.OBJECTS_PATH + urllib.parse.quote(kind, safe="")
     return path if name is None else f"{path}/{urllib.parse.quote(name, safe='')}"
 
 
-def _body(answer: http1.Answer) -> typing.Any:
-    """Return the decoded body of an answer.
+def _decode_body(response: http1.Answer) -> typing.Any:
+    """Return the decoded JSON body of a response.
 
     Raises:
-        objects.UnavailableError: It is not JSON.
+        objects.UnavailableError: The body is not JSON.
     """
     try:
-        return json.loads(answer.body)
-    except ValueError as problem:
-        raise objects.UnavailableError(f"body is not JSON: {problem}") from problem
+        return json.loads(response.body)
+    except ValueError as error:
+        raise objects.UnavailableError(f"body is not JSON: {error}") from error
