--- a/src/carobhook/soak/__init__.py
+++ b/src/carobhook/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized fault tests of real instance processes on loopback, checked from outside."""
+"""Randomized fault injection into real instance processes on loopback."""
--- a/src/carobhook/soak/checks.py
+++ b/src/carobhook/soak/checks.py
@@ -1,4 +1,4 @@
-"""What must hold of a soak, judged by what clients and servers saw."""
+"""Invariants of a soak run, checked on the records of clients and backend servers."""
 
 import collections
 from collections.abc import Iterable, Sequence
@@ -7,102 +7,123 @@
 
 from carobhook.standins import platform_client
 
-# After the last fault and this time, nearly all requests are served.
-RECOVERED_AFTER_S = 4.0
-_SERVED_SHARE = 0.95
-# A server that says it is draining gets nothing after this.
-DRAIN_S = 2.5
-# A connection that ends so soon after a request was sent may have been closed before.
-LOSS_SLACK_S = 0.2
-_PROMISES = frozenset({408, 421, 429, 503})
+# The recovery is measured this many seconds after the last fault; nearly all requests must then
+# be served.
+RECOVERY_S = 4.0
+_MIN_SERVED_SHARE = 0.95
+# Seconds after which a server that reports draining must get no more requests.
+DRAIN_LIMIT_S = 2.5
+# A connection that ends this soon after a request was sent may have been closed by its peer
+# before the request arrived, so that no instance read the request.
+CLOSE_RACE_S = 0.2
+# Statuses that guarantee that the request was not run.
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 @attrs.frozen
 class Run:
-    """One run of a request at a server.
+    """One run of a request on a backend server.
 
     Attributes:
-        attempt: Id that the client gave to its attempt.
-        server: The server.
-        at: Monotonic time in seconds of its begin.
+        attempt_id: Id that the client gave its attempt.
+        server: Id of the server.
+        started_at: Monotonic time in seconds at which it started.
     """
 
-    attempt: str
+    attempt_id: str
     server: str
-    at: float
+    started_at: float
 
 
-def broken(
+def find_violations(
     runs: Sequence[Run],
     attempts: Sequence[tuple[platform_client.RequestPlan, platform_client.Attempt]],
 ) -> list[str]:
-    """Return what was broken, whatever the faults were; nothing is right.
+    """Return the violations of the invariants that hold under every fault, one line each.
 
     Args:
-        runs: Every run at a server.
-        attempts: Every attempt of a client with its kind of request.
+        runs: All runs on all servers.
+        attempts: All attempts of all clients, each with its kind of request.
     """
-    counts = collections.Counter(run.attempt for run in runs)
-    found = []
+    run_counts = collections.Counter(run.attempt_id for run in runs)
+    violations = []
     for plan, attempt in attempts:
-        if not plan.repeatable and counts[attempt.id] > 1:
-            found.append(f"{attempt.id} may run once and ran {counts[attempt.id]} times")
-        if not plan.repeatable and attempt.status in _PROMISES and counts[attempt.id]:
-            found.append(f"{attempt.id} got {attempt.status}, which says not-run, and ran")
+        if not plan.repeatable and run_counts[attempt.id] > 1:
+            violations.append(
+                f"{attempt.id} may run once and ran {run_counts[attempt.id]} times"
+            )
+        if (
+            not plan.repeatable
+            and attempt.status in _NOT_RUN_STATUSES
+            and run_counts[attempt.id]
+        ):
+            violations.append(f"{attempt.id} got {attempt.status}, which says not-run, and ran")
         if attempt.status == 200 and attempt.body != attempt.id.encode():
-            found.append(f"{attempt.id} got the answer {attempt.body!r:.40}")
-        if attempt.status == 200 and not counts[attempt.id]:
-            found.append(f"{attempt.id} was served and never ran")
+            violations.append(f"{attempt.id} got the answer {attempt.body!r:.40}")
+        if attempt.status == 200 and not run_counts[attempt.id]:
+            violations.append(f"{attempt.id} was served and never ran")
         if attempt.status in (400, 401, 403, 404):
-            found.append(f"{attempt.id} is proper and got {attempt.status}")
-    known = {attempt.id for _, attempt in attempts}
-    found += [
-        f"{run.attempt} ran and no client sent it" for run in runs if run.attempt not in known
+            violations.append(f"{attempt.id} is proper and got {attempt.status}")
+    sent_ids = {attempt.id for _, attempt in attempts}
+    violations += [
+        f"{run.attempt_id} ran and no client sent it"
+        for run in runs
+        if run.attempt_id not in sent_ids
     ]
-    return found
+    return violations
 
 
-def cut(
+def find_interrupted(
     runs: Iterable[Run],
     attempts: Iterable[tuple[platform_client.RequestPlan, platform_client.Attempt]],
 ) -> list[str]:
-    """Return the attempts that were cut, which planned work must not lead to.
+    """Return the attempts that were interrupted, which planned work must not cause.
 
-    A request that crosses the close of its connection was read by nobody: no server ran it, and
-    its end comes at once.
+    Attempts with status 500, 502 or 504 and attempts without a response count as interrupted.
+    An attempt without a response is accepted if no server ran it and it failed within
+    `CLOSE_RACE_S`. Its request was sent while the connection was being closed, so that no
+    instance read it.
 
     Args:
-        runs: Every run at a server.
-        attempts: Every attempt of a client with its kind of request.
+        runs: All runs on all servers.
+        attempts: All attempts of all clients, each with its kind of request.
     """
-    ran = {run.attempt for run in runs}
-    found = []
+    run_ids = {run.attempt_id for run in runs}
+    violations = []
     for _, attempt in attempts:
-        crossed = attempt.id not in ran and attempt.seconds <= LOSS_SLACK_S
-        if attempt.status in (500, 502, 504) or (attempt.status == 0 and not crossed):
-            found.append(
+        crossed_close = attempt.id not in run_ids and attempt.duration_s <= CLOSE_RACE_S
+        if attempt.status in (500, 502, 504) or (attempt.status == 0 and not crossed_close):
+            violations.append(
                 f"{attempt.id} got {attempt.status or 'no answer'} under planned work only"
             )
-    return found
+    return violations
 
 
-def late_sends(runs: Iterable[Run], drained: Iterable[tuple[str, float, float]]) -> list[str]:
-    """Return the requests that reached a draining server too late.
+def find_late_sends(
+    runs: Iterable[Run], draining_periods: Iterable[tuple[str, float, float]]
+) -> list[str]:
+    """Return the requests that a server got too long after it reported draining.
 
     Args:
-        runs: Every run at a server.
-        drained: Server, begin and end of each time in which it said that it was draining.
+        runs: All runs on all servers.
+        draining_periods: Server, start and end of each period in which it reported draining.
     """
     return [
-        f"{run.attempt} reached {run.server} {run.at - begin:.1f} s after it was draining"
-        for server, begin, end in drained
+        f"{run.attempt_id} reached {run.server} "
+        f"{run.started_at - start:.1f} s after it was draining"
+        for server, start, end in draining_periods
         for run in runs
-        if run.server == server and begin + DRAIN_S < run.at < end
+        if run.server == server and start + DRAIN_LIMIT_S < run.started_at < end
     ]
 
 
-def unrecovered(served: int, sent: int) -> list[str]:
-    """Return whether too few of the requests after the recovery were served."""
-    if sent and served >= _SERVED_SHARE * sent:
+def check_recovery(served: int, sent: int) -> list[str]:
+    """Return a violation if too few of the requests sent after the recovery were served.
+
+    Args:
+        served: Number of requests served.
+        sent: Number of requests sent; none sent is a violation too.
+    """
+    if sent and served >= _MIN_SERVED_SHARE * sent:
         return []
     return [f"only {served} of {sent} requests were served after the recovery"]
--- a/src/carobhook/soak/deployment.py
+++ b/src/carobhook/soak/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment to soak: real instance processes, with the platform's stand-ins in this one."""
+"""Deployment under test: instance processes, with the platform's stand-ins in this process."""
 
 import os
 import pathlib
@@ -28,13 +28,22 @@
 
 
 class Deployment:
-    """Instances as processes; store and servers behind proxies in this process.
+    """Runs instances as processes, and store and servers in this process behind proxies.
 
     Args:
         reactor: The reactor.
-        directory: Where settings and logs go.
-        instances: How many instances.
-        servers: How many servers of each service.
+        directory: Directory for settings and logs.
+        instances: Number of instances.
+        servers: Number of servers of each service.
+
+    Attributes:
+        store: Stand-in of the store.
+        servers: Backend servers.
+        server_plans: Configuration of each server, in the order of ``servers``.
+        server_proxies: Proxy of each server, in the order of ``servers``.
+        store_proxy: Proxy through which the instances use the store.
+        draining_since: Monotonic time in seconds at which each draining server began to drain,
+            by its id.
     """
 
     def __init__(
@@ -42,39 +51,39 @@
     ) -> None:
         self._reactor = reactor
         self._directory = directory
-        self._count = instances
-        self._servers_wanted = servers
+        self._instance_count = instances
+        self._servers_per_service = servers
         self._processes: dict[int, subprocess.Popen] = {}
         self._ports: list[typing.Any] = []
         self._numbers: list[dict[str, int]] = []
         self._config_version = 1
         self.store = platform_store.PlatformStoreServer(reactor, memory_store.MemoryStore())
         self.servers: list[platform_server.PlatformBackend] = []
-        self.plans: list[service_group.ServerPlan] = []
+        self.server_plans: list[service_group.ServerPlan] = []
         self.server_proxies: list[proxy.Proxy] = []
         self.store_proxy: proxy.Proxy
-        self.drained: dict[str, float] = {}
+        self.draining_since: dict[str, float] = {}
 
     @property
     def directories(self) -> list[str]:
-        """Return the addresses that answer where to connect."""
-        return [f"{demo.HOST}:{numbers['directory']}" for numbers in self._numbers]
+        """Return the directory addresses of the instances."""
+        return [f"{demo.HOST}:{ports['directory']}" for ports in self._numbers]
 
     async def start(self) -> None:
-        """Start everything and wait until all instances are ready."""
+        """Start all stand-ins and instances, and wait until the instances are ready."""
         port = self.store.listen(demo.HOST, 0)
         self._ports.append(port)
         self.store_proxy = proxy.Proxy(self._reactor, port.getHost().port)
         for service in demo.SERVICES:
-            for number in range(self._servers_wanted):
+            for number in range(self._servers_per_service):
                 self._start_server(service.name, number)
         self.change_config()
-        for index in range(self._count):
+        for index in range(self._instance_count):
             self._numbers.append(await self._free_ports())
             self.write_settings(index)
-        for index in range(self._count):
+        for index in range(self._instance_count):
             self.start_instance(index)
-        for index in range(self._count):
+        for index in range(self._instance_count):
             await self.until_ready(index)
 
     def _start_server(self, service: str, number: int) -> None:
@@ -83,42 +92,46 @@
         server.behaviour = platform_server.Behaviour(slots=_SLOTS, work_s=_WORK_S)
         port = server.listen(demo.HOST, 0)
         self._ports.append(port)
-        between = proxy.Proxy(self._reactor, port.getHost().port)
+        server_proxy = proxy.Proxy(self._reactor, port.getHost().port)
         zone = _ZONES[number % len(_ZONES)]
-        plan = service_group.ServerPlan(name, service, zone, between.address, _SLOTS, _WORK_S)
+        plan = service_group.ServerPlan(
+            name, service, zone, server_proxy.address, _SLOTS, _WORK_S
+        )
         self.servers.append(server)
-        self.plans.append(plan)
-        self.server_proxies.append(between)
-        self.store.put(names.SERVERS_KIND, name, service_group.entry(plan))
+        self.server_plans.append(plan)
+        self.server_proxies.append(server_proxy)
+        self.store.put(names.SERVERS_KIND, name, service_group.server_spec(plan))
 
     def set_state(self, index: int, state: str) -> None:
-        """Let a server say that it is ready or draining."""
-        plan = self.plans[index]
-        self.store.put(names.SERVERS_KIND, plan.name, service_group.entry(plan, state))
+        """Write the state of a server, ``ready`` or ``draining``, into the store."""
+        plan = self.server_plans[index]
+        self.store.put(names.SERVERS_KIND, plan.name, service_group.server_spec(plan, state))
         if state == "draining":
-            self.drained[plan.name] = self._reactor.seconds()
+            self.draining_since[plan.name] = self._reactor.seconds()
         else:
-            self.drained.pop(plan.name, None)
+            self.draining_since.pop(plan.name, None)
 
     def change_config(self) -> None:
-        """Write a newer configuration."""
+        """Write a newer version of the routing configuration into the store."""
         self._config_version += 1
         spec = demo.config(self._config_version)
         self.store.put(names.CONFIG_KIND, names.CONFIG_NAME, spec)
 
     async def _free_ports(self) -> dict[str, int]:
         keys = ("http", "readiness", "directory", "peers", "metrics")
-        probes = [
+        listeners = [
             self._reactor.listenTCP(0, protocol.Factory(), interface=demo.HOST) for _ in keys
         ]
-        numbers = [probe.getHost().port for probe in probes]
-        await defer.gatherResults([defer.maybeDeferred(p.stopListening) for p in probes])
-        return dict(zip(keys, numbers, strict=True))
+        port_numbers = [listener.getHost().port for listener in listeners]
+        await defer.gatherResults(
+            [defer.maybeDeferred(port.stopListening) for port in listeners]
+        )
+        return dict(zip(keys, port_numbers, strict=True))
 
     def write_settings(self, index: int, ttl_max_s: int = 5) -> None:
-        """Write the settings of an instance."""
+        """Write the settings file of an instance."""
         zone = _ZONES[index % len(_ZONES)]
-        seeds = [f"{demo.HOST}:{numbers['peers']}" for numbers in self._numbers[:2]]
+        seeds = [f"{demo.HOST}:{ports['peers']}" for ports in self._numbers[:2]]
         place = {"name": f"i{index}", "region": demo.REGIONS[zone], "failure_domain": zone}
         place |= {key: f"{demo.HOST}:{port}" for key, port in self._numbers[index].items()}
         sections: dict[str, typing.Any] = {
@@ -132,9 +145,9 @@
         (self._directory / f"i{index}.toml").write_text(demo.settings_file(sections), "utf-8")
 
     def start_instance(self, index: int) -> None:
-        """Start the process of an instance, unless it runs."""
-        held = self._processes.get(index)
-        if held is not None and held.poll() is None:
+        """Start the process of an instance unless it is running."""
+        process = self._processes.get(index)
+        if process is not None and process.poll() is None:
             return
         with (self._directory / f"i{index}.log").open("ab") as log:
             self._processes[index] = subprocess.Popen(
@@ -150,44 +163,44 @@
             )
 
     async def until_ready(self, index: int) -> None:
-        """Wait until an instance takes clients.
+        """Wait until an instance has logged that it is ready.
 
         Raises:
-            TimeoutError: It is not ready in time.
+            TimeoutError: The instance is not ready in time.
         """
         log = self._directory / f"i{index}.log"
-        give_up_at = self._reactor.seconds() + _START_WAIT_S
+        deadline_at = self._reactor.seconds() + _START_WAIT_S
         while b"instance-ready" not in log.read_bytes():
-            if self._reactor.seconds() > give_up_at:
+            if self._reactor.seconds() > deadline_at:
                 raise TimeoutError(f"instance {index} is not ready: see {log}")
             await task.deferLater(self._reactor, _POLL_S)
 
-    def signal(self, index: int, number: signal.Signals) -> None:
-        """Send a signal to the process of an instance, if it runs."""
+    def send_signal(self, index: int, signal_number: signal.Signals) -> None:
+        """Send a signal to the process of an instance if it is running."""
         process = self._processes.get(index)
         if process is not None and process.poll() is None:
-            process.send_signal(number)
+            process.send_signal(signal_number)
 
-    async def ended(self, index: int) -> None:
-        """Wait until a process that was told to stop has ended; kill it past its grace."""
+    async def wait_for_exit(self, index: int) -> None:
+        """Wait until a stopping process has exited; kill it when its grace period is over."""
         process = self._processes[index]
-        give_up_at = self._reactor.seconds() + _GRACE_S
-        while process.poll() is None and self._reactor.seconds() < give_up_at:
+        deadline_at = self._reactor.seconds() + _GRACE_S
+        while process.poll() is None and self._reactor.seconds() < deadline_at:
             await task.deferLater(self._reactor, _POLL_S)
         if process.poll() is None:
             process.kill()
         process.wait()
 
     async def stop(self) -> None:
-        """End every process that was started here, and close all sockets."""
+        """Kill all instance processes and close all sockets."""
         for index, process in self._processes.items():
-            self.signal(index, signal.SIGCONT)
+            self.send_signal(index, signal.SIGCONT)
             process.kill()
             process.wait()
         for port in self._ports:
             await defer.maybeDeferred(port.stopListening)
-        for one in [self.store_proxy, *self.server_proxies]:
-            await one.stop()
+        for each_proxy in [self.store_proxy, *self.server_proxies]:
+            await each_proxy.stop()
         self.store.abort()
         for server in self.servers:
             server.abort()
--- a/src/carobhook/soak/faults.py
+++ b/src/carobhook/soak/faults.py
@@ -1,4 +1,4 @@
-"""Series of faults, drawn from a seed; several may overlap."""
+"""Random series of faults, reproducible from a seed; faults may overlap in time."""
 
 import enum
 import random
@@ -7,7 +7,7 @@
 
 
 class Fault(enum.Enum):
-    """What happens to a deployment; planned work is what operators do on purpose."""
+    """Faults that are injected into a deployment, and planned work of its operators."""
 
     TERM = "term"
     KILL = "kill"
@@ -29,6 +29,7 @@
     CONFIG_CHANGES = "config-changes"
 
 
+# Planned work: what operators do on purpose.
 PLANNED = frozenset({Fault.TERM, Fault.RELOAD, Fault.SERVER_DRAINS, Fault.CONFIG_CHANGES})
 
 
@@ -37,30 +38,34 @@
     """One fault of a series.
 
     Attributes:
-        at: Seconds from the start of the load.
-        fault: What happens.
-        for_s: How long it lasts, where it lasts.
-        target: Which instance or server it meets, counted from 0 and taken modulo their number.
+        at_s: Seconds from the start of the load.
+        fault: The fault.
+        duration_s: Seconds for which the fault lasts, if it is not momentary.
+        target: Index from 0 of the instance or server, modulo their number.
     """
 
-    at: float
+    at_s: float
     fault: Fault
-    for_s: float
+    duration_s: float
     target: int
 
     def __str__(self) -> str:
-        """Return the step as one line."""
-        return f"{self.at:.1f}s {self.fault.value} target={self.target} for={self.for_s:.1f}s"
+        """Return the step as the line that ``carobhook soak`` prints."""
+        return (
+            f"{self.at_s:.1f}s {self.fault.value} target={self.target} "
+            f"for={self.duration_s:.1f}s"
+        )
 
 
-def series(seed: int, duration_s: float) -> list[Step]:
-    """Return the faults of a seed, in the order of their times.
+def draw_series(seed: int, duration_s: float) -> list[Step]:
+    """Return the faults of a seed, sorted by time.
 
-    One seed in four draws planned work only, under which no request may be cut.
+    Seeds that are multiples of four draw planned work only, during which no request may be
+    interrupted.
 
     Args:
-        seed: The seed.
-        duration_s: Seconds in which faults begin.
+        seed: Seed of the random number generator.
+        duration_s: Length in seconds of the period in which faults begin.
     """
     rng = random.Random(seed)
     kinds = sorted(PLANNED if seed % 4 == 0 else Fault, key=lambda fault: fault.value)
@@ -74,4 +79,4 @@
         )
         for _ in range(count)
     ]
-    return sorted(steps, key=lambda step: step.at)
+    return sorted(steps, key=lambda step: step.at_s)
--- a/src/carobhook/soak/proxy.py
+++ b/src/carobhook/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Loopback proxy whose connections can be delayed, reset, silenced and cut one way."""
+"""Loopback TCP proxy that can delay, drop, refuse and reset connections."""
 
 import enum
 import typing
@@ -7,7 +7,14 @@
 
 
 class Mode(enum.Enum):
-    """What a proxy does to the connections that go through it."""
+    """Treatment of the connections through a proxy.
+
+    PASS: Forwards all data.
+    DELAY: Forwards all data late.
+    SILENT: Drops data in both directions; connections stay open.
+    NO_ANSWERS: Drops the data from the target only.
+    REFUSE: Aborts new connections.
+    """
 
     PASS = "pass"
     DELAY = "delay"
@@ -19,67 +26,67 @@
 _DELAY_S = 0.15
 
 
-class _Outer(protocol.Protocol):
-    """The side that the caller has opened."""
+class _CallerConnection(protocol.Protocol):
+    """Connection from the caller."""
 
     def __init__(self, proxy: "Proxy") -> None:
         self._proxy = proxy
-        self.inner: _Inner | None = None
-        self._early: list[bytes] = []
+        self.target: _TargetConnection | None = None
+        self._buffered: list[bytes] = []
 
     def connectionMade(self) -> None:
         if self._proxy.mode is Mode.REFUSE:
             self.transport.abortConnection()
             return
-        self._proxy.open.add(self)
+        self._proxy.connections.add(self)
         factory = protocol.ClientFactory()
         factory.noisy = False
-        factory.buildProtocol = lambda address: _Inner(self)
+        factory.buildProtocol = lambda address: _TargetConnection(self)
         factory.clientConnectionFailed = lambda connector, reason: (
             self.transport.abortConnection()
         )
-        self._proxy.reactor.connectTCP("127.0.0.1", self._proxy.target, factory, timeout=2)
+        self._proxy.reactor.connectTCP("127.0.0.1", self._proxy.target_port, factory, timeout=2)
 
     def dataReceived(self, data: bytes) -> None:
         if self._proxy.mode is Mode.SILENT:
             return
-        if self.inner is None:
-            self._early.append(data)
+        if self.target is None:
+            self._buffered.append(data)
         else:
-            self._proxy.forward(self.inner, data)
+            self._proxy.forward(self.target, data)
 
-    def joined(self, inner: "_Inner") -> None:
-        """Send on what came before the other side stood."""
-        self.inner = inner
-        for data in self._early:
-            self._proxy.forward(inner, data)
-        self._early.clear()
+    def target_connected(self, target: "_TargetConnection") -> None:
+        """Forward the data that arrived before the connection to the target was open."""
+        self.target = target
+        for data in self._buffered:
+            self._proxy.forward(target, data)
+        self._buffered.clear()
 
     def connectionLost(self, reason: typing.Any = protocol.connectionDone) -> None:
-        self._proxy.open.discard(self)
-        if self.inner is not None:
-            self.inner.transport.abortConnection()
+        self._proxy.connections.discard(self)
+        if self.target is not None:
+            self.target.transport.abortConnection()
 
-    def answered(self, data: bytes) -> None:
-        """Send an answer back, unless answers are held up."""
+    def forward_to_caller(self, data: bytes) -> None:
+        """Forward data from the target to the caller unless the mode drops it."""
         if self._proxy.mode not in (Mode.SILENT, Mode.NO_ANSWERS):
             self._proxy.forward(self, data)
 
 
-class _Inner(protocol.Protocol):
-    """The side to the target."""
+class _TargetConnection(protocol.Protocol):
+    """Connection to the target."""
 
-    def __init__(self, outer: _Outer) -> None:
-        self._outer = outer
+    def __init__(self, caller: _CallerConnection) -> None:
+        self._caller = caller
 
     def connectionMade(self) -> None:
-        self._outer.joined(self)
+        self._caller.target_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
-        self._outer.answered(data)
+        self._caller.forward_to_caller(data)
 
     def connectionLost(self, reason: typing.Any = protocol.connectionDone) -> None:
-        self._outer.transport.loseConnection()
+        self._caller.transport.loseConnection()
 
 
 class Proxy:
@@ -87,40 +94,40 @@
 
     Args:
         reactor: The reactor.
-        target: Port that it forwards to.
+        target_port: Loopback port that it forwards to.
 
     Attributes:
-        mode: What it does at present; may be changed at any time.
-        open: Connections that go through it.
+        mode: Treatment of connections; may be changed at any time.
+        connections: Open connections from callers.
     """
 
-    def __init__(self, reactor: typing.Any, target: int) -> None:
+    def __init__(self, reactor: typing.Any, target_port: int) -> None:
         self.reactor = reactor
-        self.target = target
+        self.target_port = target_port
         self.mode = Mode.PASS
-        self.open: set[_Outer] = set()
+        self.connections: set[_CallerConnection] = set()
         factory = protocol.ServerFactory()
         factory.noisy = False
-        factory.buildProtocol = lambda address: _Outer(self)
+        factory.buildProtocol = lambda address: _CallerConnection(self)
         self._port = reactor.listenTCP(0, factory, interface="127.0.0.1")
 
     @property
     def address(self) -> str:
-        """Return where it listens."""
+        """Return the address on which the proxy listens."""
         return f"127.0.0.1:{self._port.getHost().port}"
 
-    def forward(self, to: protocol.Protocol, data: bytes) -> None:
-        """Write data to a side, late if connections are delayed."""
+    def forward(self, receiver: protocol.Protocol, data: bytes) -> None:
+        """Write data to a connection, with a delay in mode DELAY."""
         delay_s = _DELAY_S if self.mode is Mode.DELAY else 0.0
-        self.reactor.callLater(delay_s, self._write, to, data)
+        self.reactor.callLater(delay_s, self._write, receiver, data)
 
-    def _write(self, to: protocol.Protocol, data: bytes) -> None:
-        if to.connected:
-            typing.cast(typing.Any, to.transport).write(data)
+    def _write(self, receiver: protocol.Protocol, data: bytes) -> None:
+        if receiver.connected:
+            typing.cast(typing.Any, receiver.transport).write(data)
 
     def reset(self) -> None:
-        """Reset all connections."""
-        for connection in list(self.open):
+        """Abort all connections."""
+        for connection in list(self.connections):
             connection.transport.abortConnection()
 
     async def stop(self) -> None:
--- a/src/carobhook/soak/run.py
+++ b/src/carobhook/soak/run.py
@@ -1,4 +1,4 @@
-"""Runs one seed of the soak: load, a series of faults, recovery, verdict."""
+"""Runs one seed of the soak: load with faults, recovery, then the checks."""
 
 import pathlib
 import random
@@ -12,7 +12,7 @@
 from carobhook.soak import checks, deployment, faults, proxy
 from carobhook.standins import platform_client, platform_server
 
-_RATE = 40.0
+_REQUESTS_PER_S = 40.0
 _RECOVERY_LOAD_S = 3.0
 _RESTART_S = 0.3
 _CLIENT_ZONES = (("addis", "addis-a"), ("kigali", "kigali-a"))
@@ -34,12 +34,12 @@
 
 @attrs.frozen
 class SoakOptions:
-    """How a seed is run.
+    """Size and duration of a run.
 
     Attributes:
-        instances: Instance processes.
-        servers: Servers of each service.
-        duration_s: Seconds in which faults begin.
+        instances: Number of instance processes.
+        servers: Number of servers of each service.
+        duration_s: Length in seconds of the period in which faults begin.
     """
 
     instances: int = 4
@@ -49,14 +49,14 @@
 
 @attrs.frozen
 class Verdict:
-    """What came of one seed.
+    """Result of one seed.
 
     Attributes:
         seed: The seed.
-        steps: Its faults.
-        sent: Requests that clients sent.
-        served: Those that were served.
-        broken: What was broken.
+        steps: Injected faults.
+        sent: Number of requests that clients sent.
+        served: Number of requests that were served.
+        broken: Violated invariants, one line each.
     """
 
     seed: int
@@ -72,8 +72,8 @@
     Args:
         reactor: The reactor.
         seed: The seed.
-        directory: Where settings and logs go.
-        options: How it is run.
+        directory: Directory for settings and logs.
+        options: Size and duration of the run.
     """
 
     def __init__(
@@ -91,32 +91,32 @@
         )
         self._rng = random.Random(seed)
         self._running: list[defer.Deferred] = []
-        self._drains: list[tuple[str, float, float]] = []
+        self._draining_periods: list[tuple[str, float, float]] = []
         self._clients: list[platform_client.PlatformClient] = []
 
     async def run(self) -> Verdict:
-        """Start the deployment, let the faults happen, and judge."""
-        steps = faults.series(self._seed, self._options.duration_s)
+        """Start the deployment, inject the faults under load, and check the result."""
+        steps = faults.draw_series(self._seed, self._options.duration_s)
         try:
             await self._deployment.start()
             for server in self._deployment.servers:
-                server.behaviour = attrs.evolve(server.behaviour, echoes=True)
+                server.behaviour = attrs.evolve(server.behaviour, echo_id=True)
             load = self._load(self._options.duration_s + 2.0)
-            await self._happen(steps)
+            await self._inject_faults(steps)
             await load
             await defer.gatherResults(self._running)
-            during = list(self._attempts())
-            await task.deferLater(self._reactor, checks.RECOVERED_AFTER_S)
+            attempts_before_recovery = list(self._attempts())
+            await task.deferLater(self._reactor, checks.RECOVERY_S)
             sent, served = self._totals()
             await self._load(_RECOVERY_LOAD_S)
-            return self._judge(steps, during, sent, served)
+            return self._check(steps, attempts_before_recovery, sent, served)
         finally:
             for client in self._clients:
                 client.stop()
             await self._deployment.stop()
 
     def _load(self, duration_s: float) -> defer.Deferred:
-        """Send requests from clients of two regions; fires when all are answered."""
+        """Send requests from clients of two regions; fires when every request has ended."""
         plans = demo.request_plans()
         running = []
         for region, zone in _CLIENT_ZONES:
@@ -128,23 +128,25 @@
                 random.Random(self._rng.getrandbits(64)),
             )
             self._clients.append(client)
-            running.append(defer.ensureDeferred(client.run(plans, _RATE / 2, duration_s)))
+            running.append(
+                defer.ensureDeferred(client.run(plans, _REQUESTS_PER_S / 2, duration_s))
+            )
         return defer.gatherResults(running)
 
-    async def _happen(self, steps: list[faults.Step]) -> None:
-        began_at = self._reactor.seconds()
+    async def _inject_faults(self, steps: list[faults.Step]) -> None:
+        started_at = self._reactor.seconds()
         for step in steps:
-            wait_s = began_at + step.at - self._reactor.seconds()
+            wait_s = started_at + step.at_s - self._reactor.seconds()
             await task.deferLater(self._reactor, max(0.0, wait_s))
-            self._running.append(defer.ensureDeferred(self._carry_out(step)))
+            self._running.append(defer.ensureDeferred(self._inject(step)))
 
-    async def _carry_out(self, step: faults.Step) -> None:
-        fault, one = step.fault, self._deployment
+    async def _inject(self, step: faults.Step) -> None:
+        fault, system = step.fault, self._deployment
         instance = step.target % self._options.instances
-        server = step.target % len(one.servers)
+        server = step.target % len(system.servers)
         if fault in (faults.Fault.TERM, faults.Fault.KILL):
-            number = signal.SIGTERM if fault is faults.Fault.TERM else signal.SIGKILL
-            await self._restart(instance, number)
+            signal_number = signal.SIGTERM if fault is faults.Fault.TERM else signal.SIGKILL
+            await self._restart(instance, signal_number)
         elif fault is faults.Fault.KILL_ALL:
             await defer.gatherResults(
                 [
@@ -153,64 +155,66 @@
                 ]
             )
         elif fault is faults.Fault.PAUSE:
-            one.signal(instance, signal.SIGSTOP)
-            await task.deferLater(self._reactor, step.for_s)
-            one.signal(instance, signal.SIGCONT)
+            system.send_signal(instance, signal.SIGSTOP)
+            await task.deferLater(self._reactor, step.duration_s)
+            system.send_signal(instance, signal.SIGCONT)
         elif fault is faults.Fault.RELOAD:
-            one.write_settings(instance, ttl_max_s=3 + step.target % 3)
-            one.signal(instance, signal.SIGHUP)
+            system.write_settings(instance, ttl_max_s=3 + step.target % 3)
+            system.send_signal(instance, signal.SIGHUP)
         elif fault is faults.Fault.CONFIG_CHANGES:
-            one.change_config()
+            system.change_config()
         elif fault is faults.Fault.STORE_FORGETS:
-            one.store.forget()
+            system.store.compact()
         elif fault is faults.Fault.SERVER_DRAINS:
-            await self._drain(server, step.for_s)
+            await self._drain(server, step.duration_s)
         elif fault is faults.Fault.SERVER_RESETS:
-            one.server_proxies[server].reset()
+            system.server_proxies[server].reset()
         elif fault in _BEHAVIOURS:
-            await self._misbehave(one.servers[server], fault, step.for_s)
+            await self._change_behaviour(system.servers[server], fault, step.duration_s)
         else:
             is_store = fault.value.startswith("store")
-            target = one.store_proxy if is_store else one.server_proxies[server]
-            await self._hold(target, _PROXY_MODES[fault], step.for_s)
-
-    async def _restart(self, index: int, number: signal.Signals) -> None:
-        self._deployment.signal(index, number)
-        if number is signal.SIGKILL:
-            # A process that is paused ends all the same.
-            self._deployment.signal(index, signal.SIGCONT)
-        await self._deployment.ended(index)
+            changed_proxy = system.store_proxy if is_store else system.server_proxies[server]
+            await self._change_proxy_mode(changed_proxy, _PROXY_MODES[fault], step.duration_s)
+
+    async def _restart(self, index: int, signal_number: signal.Signals) -> None:
+        self._deployment.send_signal(index, signal_number)
+        if signal_number is signal.SIGKILL:
+            # The process may be paused and must exit as well.
+            self._deployment.send_signal(index, signal.SIGCONT)
+        await self._deployment.wait_for_exit(index)
         await task.deferLater(self._reactor, _RESTART_S)
         self._deployment.start_instance(index)
 
-    async def _drain(self, server: int, for_s: float) -> None:
-        plan = self._deployment.plans[server]
-        if plan.name in self._deployment.drained:
+    async def _drain(self, server: int, duration_s: float) -> None:
+        plan = self._deployment.server_plans[server]
+        if plan.name in self._deployment.draining_since:
             return
-        began_at = self._reactor.seconds()
+        started_at = self._reactor.seconds()
         self._deployment.set_state(server, "draining")
-        await task.deferLater(self._reactor, for_s + checks.DRAIN_S)
-        self._drains.append((plan.name, began_at, self._reactor.seconds()))
+        await task.deferLater(self._reactor, duration_s + checks.DRAIN_LIMIT_S)
+        self._draining_periods.append((plan.name, started_at, self._reactor.seconds()))
         self._deployment.set_state(server, "ready")
 
-    async def _misbehave(
-        self, server: platform_server.PlatformBackend, fault: faults.Fault, for_s: float
+    async def _change_behaviour(
+        self, server: platform_server.PlatformBackend, fault: faults.Fault, duration_s: float
     ) -> None:
-        before = server.behaviour
-        server.behaviour = attrs.evolve(before, **_BEHAVIOURS[fault])
-        await task.deferLater(self._reactor, for_s)
-        server.behaviour = before
+        previous = server.behaviour
+        server.behaviour = attrs.evolve(previous, **_BEHAVIOURS[fault])
+        await task.deferLater(self._reactor, duration_s)
+        server.behaviour = previous
 
-    async def _hold(self, target: proxy.Proxy, mode: proxy.Mode, for_s: float) -> None:
-        target.mode = mode
+    async def _change_proxy_mode(
+        self, changed_proxy: proxy.Proxy, mode: proxy.Mode, duration_s: float
+    ) -> None:
+        changed_proxy.mode = mode
         if mode is proxy.Mode.REFUSE:
-            target.reset()
-        await task.deferLater(self._reactor, for_s)
-        target.mode = proxy.Mode.PASS
+            changed_proxy.reset()
+        await task.deferLater(self._reactor, duration_s)
+        changed_proxy.mode = proxy.Mode.PASS
         if mode in (proxy.Mode.SILENT, proxy.Mode.NO_ANSWERS):
-            # What was held up is lost for good; such connections never work again.
-            for connection in list(target.open):
-                target.open.discard(connection)
+            # The dropped data is lost for good, so these connections cannot work again.
+            for connection in list(changed_proxy.connections):
+                changed_proxy.connections.discard(connection)
 
     def _attempts(
         self,
@@ -222,24 +226,26 @@
         reports = [client.report for client in self._clients]
         return sum(r.sent for r in reports), sum(r.served for r in reports)
 
-    def _judge(
+    def _check(
         self,
         steps: list[faults.Step],
-        during: list[tuple[platform_client.RequestPlan, platform_client.Attempt]],
+        attempts_before_recovery: list[
+            tuple[platform_client.RequestPlan, platform_client.Attempt]
+        ],
         sent_before: int,
         served_before: int,
     ) -> Verdict:
         runs = [
-            checks.Run(attempt, server.name, at)
+            checks.Run(attempt_id, server.name, started_at)
             for server in self._deployment.servers
-            for attempt, at in server.runs
+            for attempt_id, started_at in server.starts
         ]
         sent, served = self._totals()
-        found = checks.broken(runs, list(self._attempts()))
+        violations = checks.find_violations(runs, list(self._attempts()))
         if {step.fault for step in steps} <= faults.PLANNED:
-            found += checks.cut(runs, during)
+            violations += checks.find_interrupted(runs, attempts_before_recovery)
         store_faults = any(step.fault.value.startswith("store") for step in steps)
         if not store_faults:
-            found += checks.late_sends(runs, self._drains)
-        found += checks.unrecovered(served - served_before, sent - sent_before)
-        return Verdict(self._seed, tuple(steps), sent, served, tuple(found))
+            violations += checks.find_late_sends(runs, self._draining_periods)
+        violations += checks.check_recovery(served - served_before, sent - sent_before)
+        return Verdict(self._seed, tuple(steps), sent, served, tuple(violations))
--- a/src/carobhook/standins/__init__.py
+++ b/src/carobhook/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform's outside systems, for tests and demonstrations."""
+"""Stand-ins for the platform's store, servers and clients, for tests and the demo."""
--- a/src/carobhook/standins/memory_store.py
+++ b/src/carobhook/standins/memory_store.py
@@ -1,4 +1,4 @@
-"""In-memory engine of the object API's stand-in: objects, versions, events, limits."""
+"""In-memory engine of the store's stand-in: objects, versions, events and rate limits."""
 
 import collections
 import json
@@ -10,6 +10,7 @@
 from carobhook.coordination import objects, token_bucket
 
 VALUE_LIMIT_BYTES = 1_000_000
+# Size of a burst, in seconds of calls at the rate limit.
 _BURST_S = 1.0
 
 Listener = Callable[[objects.WatchEvent], None]
@@ -17,12 +18,13 @@
 
 @attrs.frozen
 class Limits:
-    """What the object API bears.
+    """Rate limits and event history of the store.
 
     Attributes:
         writes_per_s: Creates, updates and deletes a second.
-        reads_per_s: Gets, lists and watches a second; a waiting watch is one call.
-        kept_events: Latest events that a watch can still ask for.
+        reads_per_s: Gets, lists and watches a second; a watch counts once, however long it
+            waits.
+        kept_events: Number of latest events that are kept for watches.
     """
 
     writes_per_s: float = 500.0
@@ -31,25 +33,25 @@
 
 
 class RateLimitedError(objects.UnavailableError):
-    """The object API refused a call over its rate; the call had no effect."""
+    """A call exceeded the rate limit of the store; it had no effect."""
 
 
 @attrs.define
 class Stats:
-    """Calls that reached the engine, by operation, and those refused over the rate."""
+    """Counts of all calls by operation, and of the calls refused by the rate limit."""
 
     calls: collections.Counter[str] = attrs.field(factory=collections.Counter)
     refused: int = 0
 
 
 class MemoryStore:
-    """Objects of one object API; every call is synchronous and takes the present time.
+    """Objects, versions and events of one store.
 
-    Values are kept as they were read back from their JSON form; callers must not change what
-    they are given.
+    Every call is synchronous and gets the current time from its caller. Values are stored as
+    copies that went through JSON; callers must not modify the values that they get.
 
     Args:
-        limits: Rates and history of the store.
+        limits: Rate limits and event history; the defaults if None.
     """
 
     def __init__(self, limits: Limits | None = None) -> None:
@@ -57,11 +59,11 @@
         self._objects: dict[str, dict[str, objects.StoredObject]] = {}
         self._revision = 0
         self._events: collections.deque[objects.WatchEvent] = collections.deque()
-        self._forgotten = 0
+        self._compacted_revision = 0
         self._listeners: list[Listener] = []
         self._stats = Stats()
-        self._writes = _bucket(self._limits.writes_per_s)
-        self._reads = _bucket(self._limits.reads_per_s)
+        self._writes = _new_bucket(self._limits.writes_per_s)
+        self._reads = _new_bucket(self._limits.reads_per_s)
 
     @property
     def revision(self) -> int:
@@ -101,9 +103,9 @@
             ConflictError: An object of that name exists.
         """
         self._admit("create", self._writes, now)
-        held = self._objects.get(kind, {}).get(name)
-        if held is not None:
-            raise objects.ConflictError(f"{kind}/{name} exists at version {held.version}")
+        existing = self._objects.get(kind, {}).get(name)
+        if existing is not None:
+            raise objects.ConflictError(f"{kind}/{name} exists at version {existing.version}")
         return self._put(kind, name, value)
 
     def update(self, kind: str, name: str, value: typing.Any, version: int, now: float) -> int:
@@ -115,7 +117,7 @@
             ConflictError: The object has another version or is gone.
         """
         self._admit("update", self._writes, now)
-        self._expect(kind, name, version)
+        self._check_version(kind, name, version)
         return self._put(kind, name, value)
 
     def delete(self, kind: str, name: str, version: int, now: float) -> None:
@@ -126,13 +128,13 @@
             ConflictError: The object has another version or is gone.
         """
         self._admit("delete", self._writes, now)
-        self._expect(kind, name, version)
+        self._check_version(kind, name, version)
         del self._objects[kind][name]
         self._revision += 1
-        self._announce(objects.WatchEvent(kind, name, self._revision, None))
+        self._publish(objects.WatchEvent(kind, name, self._revision, None))
 
     def admit_watch(self, now: float) -> None:
-        """Count one watch, however long it waits.
+        """Count one watch against the read limit, however long it waits.
 
         Raises:
             RateLimitedError: Too many reads.
@@ -140,14 +142,15 @@
         self._admit("watch", self._reads, now)
 
     def events_since(self, kinds: Sequence[str], since: int) -> objects.WatchBatch:
-        """Return the events of some kinds after a revision; they may be none.
+        """Return the events of some kinds after a revision; the batch may be empty.
 
         Raises:
-            ExpiredError: Events after ``since`` are no longer kept, or it is yet to come.
+            ExpiredError: Some events after ``since`` are no longer kept, or ``since`` is above
+                the current revision.
         """
-        if not self._forgotten <= since <= self._revision:
+        if not self._compacted_revision <= since <= self._revision:
             raise objects.ExpiredError(
-                f"since {since} is outside {self._forgotten} to {self._revision}"
+                f"since {since} is outside {self._compacted_revision} to {self._revision}"
             )
         events: list[objects.WatchEvent] = []
         for event in reversed(self._events):
@@ -157,13 +160,13 @@
                 events.append(event)
         return objects.WatchBatch(self._revision, tuple(reversed(events)))
 
-    def forget(self) -> None:
-        """Give up the events that are kept, as a compaction does."""
+    def compact(self) -> None:
+        """Drop the event history, so that every watch from an earlier revision expires."""
         self._events.clear()
-        self._forgotten = self._revision
+        self._compacted_revision = self._revision
 
-    def listen(self, listener: Listener) -> Callable[[], None]:
-        """Call ``listener`` with every event from now on; return how to stop that."""
+    def subscribe(self, listener: Listener) -> Callable[[], None]:
+        """Call ``listener`` with every new event; return a function that unsubscribes it."""
         self._listeners.append(listener)
         return lambda: self._listeners.remove(listener)
 
@@ -173,13 +176,13 @@
             self._stats.refused += 1
             raise RateLimitedError(f"{operation}: over {bucket.rate:g} calls a second")
 
-    def _expect(self, kind: str, name: str, version: int) -> None:
-        held = self._objects.get(kind, {}).get(name)
-        if held is None:
+    def _check_version(self, kind: str, name: str, version: int) -> None:
+        existing = self._objects.get(kind, {}).get(name)
+        if existing is None:
             raise objects.ConflictError(f"{kind}/{name} does not exist")
-        if held.version != version:
+        if existing.version != version:
             raise objects.ConflictError(
-                f"{kind}/{name} is at version {held.version}, not {version}"
+                f"{kind}/{name} is at version {existing.version}, not {version}"
             )
 
     def _put(self, kind: str, name: str, value: typing.Any) -> int:
@@ -187,18 +190,18 @@
         if len(text) > VALUE_LIMIT_BYTES:
             raise objects.TooLargeError(f"{kind}/{name}: {len(text)} B is over 1 MB")
         self._revision += 1
-        kept = objects.StoredObject(kind, name, self._revision, json.loads(text))
-        self._objects.setdefault(kind, {})[name] = kept
-        self._announce(objects.WatchEvent(kind, name, kept.version, kept.value))
-        return kept.version
+        stored = objects.StoredObject(kind, name, self._revision, json.loads(text))
+        self._objects.setdefault(kind, {})[name] = stored
+        self._publish(objects.WatchEvent(kind, name, stored.version, stored.value))
+        return stored.version
 
-    def _announce(self, event: objects.WatchEvent) -> None:
+    def _publish(self, event: objects.WatchEvent) -> None:
         self._events.append(event)
         while len(self._events) > self._limits.kept_events:
-            self._forgotten = self._events.popleft().version
+            self._compacted_revision = self._events.popleft().version
         for listener in tuple(self._listeners):
             listener(event)
 
 
-def _bucket(rate: float) -> token_bucket.TokenBucket:
+def _new_bucket(rate: float) -> token_bucket.TokenBucket:
     return token_bucket.TokenBucket(rate=rate, burst=max(1.0, rate * _BURST_S))
--- a/src/carobhook/standins/platform_client.py
+++ b/src/carobhook/standins/platform_client.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's clients: asks where to connect, sends requests, checks answers."""
+"""Stand-in of the platform's clients: looks up instances, sends requests, counts outcomes."""
 
 import collections
 import json
@@ -16,8 +16,9 @@
 
 _CONNECT_TIMEOUT_S = 1.0
 _LOOKUP_TIMEOUT_S = 1.0
-_LOOKUP_LIFETIME_S = 2.0
-_ANSWER_MARGIN_S = 1.0
+_LOOKUP_TTL_S = 2.0
+# Seconds for which a response is awaited beyond the deadline that the request states.
+_RESPONSE_MARGIN_S = 1.0
 
 
 @attrs.frozen
@@ -25,38 +26,38 @@
     """One kind of request.
 
     Attributes:
-        host: Host that it is for.
-        prefix: Path prefix of its route.
-        repeatable: Whether it may be sent again after any failure.
-        time_left_s: Seconds that the client waits.
-        objects: How many objects its requests are about.
-        weight: Part of all requests.
+        host: Value of the Host header.
+        prefix: Path prefix of the route.
+        repeatable: Whether a request may run more than once.
+        time_left_s: Seconds for which the client waits, all attempts together.
+        object_count: Number of objects that the requests concern, chosen at random.
+        weight: Relative frequency among the kinds.
     """
 
     host: str
     prefix: str
     repeatable: bool = True
     time_left_s: float = 2.5
-    objects: int = 20
+    object_count: int = 20
     weight: float = 1.0
 
 
 @attrs.frozen
 class Attempt:
-    """What came of one attempt.
+    """Outcome of one attempt of a request.
 
     Attributes:
-        id: Its id.
-        status: Status of the answer, 0 without one.
-        seconds: How long it took.
-        not_run: Whether the answer promises that it was not run.
-        retry_after_s: Seconds after which it may be sent again, or None.
-        body: Body of the answer.
+        id: Id of the attempt.
+        status: HTTP status of the response, or 0 without a response.
+        duration_s: Seconds until the response or the failure.
+        not_run: Whether the status guarantees that the request was not run.
+        retry_after_s: Value of the Retry-After header, or None.
+        body: Body of the response.
     """
 
     id: str
     status: int
-    seconds: float
+    duration_s: float
     not_run: bool = False
     retry_after_s: float | None = None
     body: bytes = b""
@@ -64,45 +65,49 @@
 
 @attrs.define
 class Report:
-    """Counts of what clients got.
+    """Counts of requests and attempts, and latencies.
 
     Attributes:
-        sent: Requests, each counted once whatever it was repeated.
-        served: Requests answered with success.
-        statuses: Attempts by the status of their answer; 0 stands for none.
-        seconds: Time until the success of each request that was served.
-        unanswered: Ids of the attempts that got no answer.
+        sent: Requests, each counted once however many attempts it took.
+        served: Requests that got a response with status 200.
+        statuses: Number of attempts by response status; 0 means no response.
+        latencies_s: Seconds from the first attempt of each served request to its response.
+        unanswered: Ids of the attempts without a response.
     """
 
     sent: int = 0
     served: int = 0
     statuses: collections.Counter[int] = attrs.field(factory=collections.Counter)
-    seconds: list[float] = attrs.field(factory=list)
+    latencies_s: list[float] = attrs.field(factory=list)
     unanswered: list[str] = attrs.field(factory=list)
 
     def text(self) -> str:
         """Return the report as one JSON object."""
-        ordered = sorted(self.seconds)
-        middle = ordered[len(ordered) // 2] if ordered else None
-        plain = {
+        latencies_s = sorted(self.latencies_s)
+        median_s = latencies_s[len(latencies_s) // 2] if latencies_s else None
+        counts = {
             "sent": self.sent,
             "served": self.served,
             "statuses": {str(status): count for status, count in sorted(self.statuses.items())},
             "unanswered": self.unanswered,
-            "p50_ms": None if middle is None else round(middle * 1000, 1),
+            "p50_ms": None if median_s is None else round(median_s * 1000, 1),
         }
-        return json.dumps(plain)
+        return json.dumps(counts)
 
 
 class PlatformClient:
-    """Clients of one failure domain.
+    """Simulates the clients of one failure domain.
 
     Args:
         reactor: Source of time and connections.
-        directories: Addresses that answer where to connect, nearest first.
+        directories: Directory addresses of instances, in the order in which they are tried.
         region: Region of the clients.
-        domain: Their failure domain.
-        rng: Source of their choices.
+        domain: Failure domain of the clients.
+        rng: Random number generator.
+
+    Attributes:
+        report: Counts of all requests so far.
+        attempts: All attempts so far, each with its kind of request.
     """
 
     def __init__(
@@ -120,18 +125,18 @@
         self._rng = rng
         self._connections = server_connections.ServerConnections(reactor, _CONNECT_TIMEOUT_S)
         self._addresses: list[str] = []
-        self._asked_at = -_LOOKUP_LIFETIME_S
-        self._failed: set[str] = set()
+        self._looked_up_at = -_LOOKUP_TTL_S
+        self._unreachable: set[str] = set()
         self.report = Report()
         self.attempts: list[tuple[RequestPlan, Attempt]] = []
 
     async def run(self, plans: Sequence[RequestPlan], rate: float, duration_s: float) -> None:
-        """Send requests at an open rate, and wait for all of them.
+        """Send requests at a rate that does not depend on responses, and wait for all of them.
 
         Args:
             plans: Kinds of requests.
-            rate: Requests a second.
-            duration_s: Seconds for which new ones are sent.
+            rate: Mean number of requests a second; they arrive as a Poisson process.
+            duration_s: Seconds for which new requests are sent.
         """
         weights = [plan.weight for plan in plans]
         end_at = self._reactor.seconds() + duration_s
@@ -143,73 +148,73 @@
         await defer.gatherResults(running)
 
     async def request(self, plan: RequestPlan) -> Attempt:
-        """Send one request, again where its kind and its answer allow it."""
-        began_at = self._reactor.seconds()
-        end_at = began_at + plan.time_left_s
+        """Send one request, and retry it while its kind and the response allow that."""
+        started_at = self._reactor.seconds()
+        deadline_at = started_at + plan.time_left_s
         self.report.sent += 1
-        key = str(self._rng.randrange(plan.objects))
+        key = str(self._rng.randrange(plan.object_count))
         while True:
-            attempt = await self._attempt(plan, key, end_at - self._reactor.seconds())
+            attempt = await self._attempt(plan, key, deadline_at - self._reactor.seconds())
             self.attempts.append((plan, attempt))
             self.report.statuses[attempt.status] += 1
             if attempt.status == 0:
                 self.report.unanswered.append(attempt.id)
             if attempt.status == 200:
                 self.report.served += 1
-                self.report.seconds.append(self._reactor.seconds() - began_at)
+                self.report.latencies_s.append(self._reactor.seconds() - started_at)
                 return attempt
-            left_s = end_at - self._reactor.seconds()
+            remaining_s = deadline_at - self._reactor.seconds()
             wait_s = attempt.retry_after_s or 0.05
-            may_repeat = attempt.not_run or (plan.repeatable and attempt.status != 404)
-            if not may_repeat or wait_s > left_s / 3:
+            retryable = attempt.not_run or (plan.repeatable and attempt.status != 404)
+            if not retryable or wait_s > remaining_s / 3:
                 return attempt
             await task.deferLater(self._reactor, wait_s)
 
-    async def _attempt(self, plan: RequestPlan, key: str, left_s: float) -> Attempt:
-        name = uuid.UUID(int=self._rng.getrandbits(128)).hex[:16]
-        began_at = self._reactor.seconds()
+    async def _attempt(self, plan: RequestPlan, key: str, remaining_s: float) -> Attempt:
+        attempt_id = uuid.UUID(int=self._rng.getrandbits(128)).hex[:16]
+        started_at = self._reactor.seconds()
         address = await self._address(plan.host)
         if address is None:
-            return Attempt(name, 0, self._reactor.seconds() - began_at)
+            return Attempt(attempt_id, 0, self._reactor.seconds() - started_at)
         head = http1.RequestHead(
             b"GET" if plan.repeatable else b"POST",
             f"{plan.prefix}{key}".encode(),
             (
                 (b"Host", plan.host.encode()),
-                (names.REQUEST_ID.encode(), name.encode()),
+                (names.REQUEST_ID.encode(), attempt_id.encode()),
                 (names.OBJECT_KEY.encode(), key.encode()),
-                (names.TIME_LEFT_MS.encode(), str(max(1, int(left_s * 1000))).encode()),
+                (names.TIME_LEFT_MS.encode(), str(max(1, int(remaining_s * 1000))).encode()),
             ),
         )
         try:
-            answer = await self._exchange(address, head, left_s + _ANSWER_MARGIN_S)
-        except server_connections.ExchangeError as problem:
-            if problem.fault is server_connections.Fault.CONNECT:
+            response = await self._exchange(address, head, remaining_s + _RESPONSE_MARGIN_S)
+        except server_connections.ExchangeError as error:
+            if error.fault is server_connections.Fault.CONNECT:
                 # Nothing was sent, so another address is tried.
-                self._failed.add(address)
-                spent_s = self._reactor.seconds() - began_at
-                return await self._attempt(plan, key, left_s - spent_s)
-            return Attempt(name, 0, self._reactor.seconds() - began_at)
+                self._unreachable.add(address)
+                elapsed_s = self._reactor.seconds() - started_at
+                return await self._attempt(plan, key, remaining_s - elapsed_s)
+            return Attempt(attempt_id, 0, self._reactor.seconds() - started_at)
         except defer.TimeoutError:
-            return Attempt(name, 0, self._reactor.seconds() - began_at)
-        told = answer.get("retry-after")
+            return Attempt(attempt_id, 0, self._reactor.seconds() - started_at)
+        retry_after = response.get("retry-after")
         return Attempt(
-            name,
-            answer.status,
-            self._reactor.seconds() - began_at,
-            answer.status in (408, 421, 429, 503),
-            float(told) if told is not None else None,
-            answer.body,
+            attempt_id,
+            response.status,
+            self._reactor.seconds() - started_at,
+            response.status in (408, 421, 429, 503),
+            float(retry_after) if retry_after is not None else None,
+            response.body,
         )
 
     async def _exchange(
         self, address: str, head: http1.RequestHead, timeout_s: float
     ) -> http1.Answer:
-        """Return the answer to a request.
+        """Send a request and return its response.
 
         Raises:
-            server_connections.ExchangeError: There is none.
-            defer.TimeoutError: There is none in time.
+            server_connections.ExchangeError: The exchange failed without a whole response.
+            defer.TimeoutError: No response came in time.
         """
         exchange = defer.ensureDeferred(
             self._connections.exchange(address, head, b"", careful=True)
@@ -218,28 +223,30 @@
         return received.answer
 
     async def _address(self, host: str) -> str | None:
-        """Return where to connect, from an answer of the directory that is still fresh.
+        """Return the address to connect to, or None if no address is usable.
 
-        Addresses that could not be connected to are passed over until the next answer.
+        Addresses are looked up again every `_LOOKUP_TTL_S` seconds; a failed look-up keeps the
+        old ones. Addresses that refused a connection are skipped until the next look-up.
         """
-        if self._reactor.seconds() - self._asked_at >= _LOOKUP_LIFETIME_S:
-            self._asked_at = self._reactor.seconds()
-            found = await self._look_up(host)
-            self._addresses = found or self._addresses
-            self._failed.clear()
-        left = [address for address in self._addresses if address not in self._failed]
-        return self._rng.choice(left) if left else None
+        if self._reactor.seconds() - self._looked_up_at >= _LOOKUP_TTL_S:
+            self._looked_up_at = self._reactor.seconds()
+            addresses = await self._look_up(host)
+            self._addresses = addresses or self._addresses
+            self._unreachable.clear()
+        usable = [address for address in self._addresses if address not in self._unreachable]
+        return self._rng.choice(usable) if usable else None
 
     async def _look_up(self, host: str) -> list[str]:
+        """Return the addresses from the first directory that answers with status 200."""
         target = f"{names.RESOLVE_PATH}?Name={host}&Region={self._region}&Zone={self._domain}"
         for address in self._directories:
             head = http1.RequestHead(b"GET", target.encode(), ((b"Host", address.encode()),))
             try:
-                answer = await self._exchange(address, head, _LOOKUP_TIMEOUT_S)
+                response = await self._exchange(address, head, _LOOKUP_TIMEOUT_S)
             except (server_connections.ExchangeError, defer.TimeoutError):
                 continue
-            if answer.status == 200:
-                return list(json.loads(answer.body)["Addresses"])
+            if response.status == 200:
+                return list(json.loads(response.body)["Addresses"])
         return []
 
     def stop(self) -> None:
--- a/src/carobhook/standins/platform_server.py
+++ b/src/carobhook/standins/platform_server.py
@@ -1,4 +1,4 @@
-"""Stand-in of a backend server on the platform: slots, work, and the ways in which it fails."""
+"""Stand-in of a backend server of the platform, with failures that tests switch on."""
 
 import typing
 from collections.abc import Callable
@@ -13,25 +13,25 @@
 
 _LIMITS = routing.ClientLimits(idle_timeout_s=10.0)
 _MAX_CONNECTIONS = 256
-_MAX_HELD_OCTETS = 64 * 1024 * 1024
+_MAX_BUFFERED_BYTES = 64 * 1024 * 1024
 
-Answer = Callable[[http1.Answer], None]
+Respond = Callable[[http1.Answer], None]
 
 
 @attrs.define
 class Behaviour:
-    """How the stand-in works.
+    """Settings of the stand-in's responses and failures.
 
     Attributes:
-        slots: Requests that it runs at once.
-        work_s: Seconds that one takes.
-        status: Status of its answers.
-        raw: Octets sent in place of an answer, or None.
-        reset: Whether it resets the connection in place of an answer.
-        extra: Octets sent behind each answer.
-        shed: Whether it says that it did not run the request.
-        body: Body of its answers.
-        echoes: Whether the body is the attempt's id instead.
+        slots: Number of requests that the server runs at once; not enforced.
+        work_s: Seconds for which a request runs.
+        status: Status of the responses.
+        raw: Bytes sent in place of a response before the connection is closed, or None.
+        reset: Whether the connection is reset in place of a response.
+        extra: Bytes sent after each response.
+        shed: Whether requests are refused with 503 and the header that says not executed.
+        body: Body of the responses.
+        echo_id: Whether the body is the id of the attempt instead of ``body``.
     """
 
     slots: int = 4
@@ -42,21 +42,21 @@
     extra: bytes = b""
     shed: bool = False
     body: bytes = b"served"
-    echoes: bool = False
+    echo_id: bool = False
 
 
 @attrs.define(eq=False)
-class _Run:
-    """A request that runs; implements `client_connections.Exchange`."""
+class _RunningRequest:
+    """A running request; implements `client_connections.Exchange`."""
 
     timer: typing.Any
-    gone: Callable[[], None]
+    on_cancel: Callable[[], None]
 
     def client_gone(self) -> None:
-        """Stop the work."""
+        """Cancel the request."""
         if self.timer.active():
             self.timer.cancel()
-            self.gone()
+            self.on_cancel()
 
 
 class PlatformBackend:
@@ -64,15 +64,15 @@
 
     Args:
         reactor: Source of time and timers.
-        name: Its id.
+        name: Id of the server.
 
     Attributes:
-        name: Its id.
-        behaviour: How it works; may be changed at any time.
-        ran: Ids of the requests that it began to work on.
-        runs: The same, each with the monotonic time in seconds of its begin.
-        cancelled: Requests whose connection closed while it worked.
-        heads: Heads of all requests.
+        name: Id of the server.
+        behaviour: Responses and failures; may be changed at any time.
+        ran: Attempt ids of the requests that the server started to run.
+        starts: The same ids, each with the monotonic time of its start in seconds.
+        cancelled: Number of requests whose connection closed while they ran.
+        heads: Heads of all requests received.
     """
 
     def __init__(self, reactor: typing.Any, name: str) -> None:
@@ -81,7 +81,7 @@
         self._connections: list[client_connections.ClientConnection] = []
         self.behaviour = Behaviour()
         self.ran: list[str] = []
-        self.runs: list[tuple[str, float]] = []
+        self.starts: list[tuple[str, float]] = []
         self.cancelled = 0
         self.heads: list[http1.RequestHead] = []
 
@@ -90,16 +90,16 @@
         backend = self
 
         class Listener(client_connections.ClientListener):
-            """Keeps the connections, so that an answer can be replaced by raw octets."""
+            """Records the connections, so that raw bytes can be sent on them."""
 
             def buildProtocol(self, addr: typing.Any) -> protocol.Protocol | None:
-                built = super().buildProtocol(addr)
-                if isinstance(built, client_connections.ClientConnection):
-                    backend._connections.append(built)
-                return built
+                connection = super().buildProtocol(addr)
+                if isinstance(connection, client_connections.ClientConnection):
+                    backend._connections.append(connection)
+                return connection
 
         listener = Listener(
-            self._reactor, self._handle, lambda: _LIMITS, _MAX_CONNECTIONS, _MAX_HELD_OCTETS
+            self._reactor, self._handle, lambda: _LIMITS, _MAX_CONNECTIONS, _MAX_BUFFERED_BYTES
         )
         return self._reactor.listenTCP(port, listener, interface=host)
 
@@ -110,28 +110,28 @@
                 connection.abort()
 
     def _handle(
-        self, inbound: client_connections.Inbound, answer: Answer
+        self, inbound: client_connections.Inbound, respond: Respond
     ) -> client_connections.Exchange | None:
         head = inbound.head
         self.heads.append(head)
         expected = head.get(names.EXPECTED_SERVER)
         if expected is not None and expected != self.name:
-            answer(self._reply(head, 421, b""))
+            respond(self._reply(head, 421, b""))
             return None
         if self.behaviour.shed:
             shed = self._reply(head, 503, b"", ((names.NOT_EXECUTED.encode(), b"1"),))
-            answer(shed)
+            respond(shed)
             return None
-        request = head.get(names.REQUEST_ID) or ""
-        self.ran.append(request)
-        self.runs.append((request, self._reactor.seconds()))
-        timer = self._reactor.callLater(self.behaviour.work_s, self._end, head, answer)
-        return _Run(timer, self._count_cancelled)
+        attempt_id = head.get(names.REQUEST_ID) or ""
+        self.ran.append(attempt_id)
+        self.starts.append((attempt_id, self._reactor.seconds()))
+        timer = self._reactor.callLater(self.behaviour.work_s, self._finish, head, respond)
+        return _RunningRequest(timer, self._count_cancelled)
 
     def _count_cancelled(self) -> None:
         self.cancelled += 1
 
-    def _end(self, head: http1.RequestHead, answer: Answer) -> None:
+    def _finish(self, head: http1.RequestHead, respond: Respond) -> None:
         behaviour = self.behaviour
         if behaviour.reset or behaviour.raw is not None:
             for connection in self._connections:
@@ -143,9 +143,9 @@
                         connection.transport.abortConnection()
             return
         body = behaviour.body
-        if behaviour.echoes:
+        if behaviour.echo_id:
             body = (head.get(names.REQUEST_ID) or "").encode()
-        answer(self._reply(head, behaviour.status, body))
+        respond(self._reply(head, behaviour.status, body))
         if behaviour.extra:
             for connection in self._connections:
                 if connection.connected:
@@ -158,11 +158,11 @@
         body: bytes,
         headers: tuple[tuple[bytes, bytes], ...] = (),
     ) -> http1.Answer:
-        request_id = (head.get(names.REQUEST_ID) or "").encode()
-        told = (
-            (names.REQUEST_ID.encode(), request_id),
+        attempt_id = (head.get(names.REQUEST_ID) or "").encode()
+        all_headers = (
+            (names.REQUEST_ID.encode(), attempt_id),
             (names.SERVER_ID.encode(), self.name.encode()),
             (b"Server", b"standin"),
             *headers,
         )
-        return http1.Answer(status, b"Status", told, body)
+        return http1.Answer(status, b"Status", all_headers, body)
--- a/src/carobhook/standins/platform_store.py
+++ b/src/carobhook/standins/platform_store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's store: the in-memory engine behind the platform's protocol."""
+"""Stand-in of the platform's store: serves the in-memory engine over HTTP."""
 
 import json
 import typing
@@ -17,18 +17,18 @@
 
 _LIMITS = routing.ClientLimits(idle_timeout_s=60.0)
 _MAX_CONNECTIONS = 1024
-_MAX_HELD_OCTETS = 64 * 1024 * 1024
-_PAGE = 50
+_MAX_BUFFERED_BYTES = 64 * 1024 * 1024
+_PAGE_SIZE = 50
 
-Answer = Callable[[http1.Answer], None]
+Respond = Callable[[http1.Answer], None]
 
 
 class Mode:
-    """How the stand-in behaves.
+    """Failures of the stand-in; may be changed at any time.
 
     Attributes:
-        refuse_status: Status with which every call is refused; 0 for none.
-        silent: Whether calls get no answer at all.
+        refuse_status: Status with which every call is refused; 0 to serve calls.
+        silent: Whether calls and watches get no response.
     """
 
     def __init__(self) -> None:
@@ -38,27 +38,31 @@
 
 @attrs.define(eq=False)
 class _Watch:
-    """A watch that waits; implements `client_connections.Exchange`."""
+    """A watch that waits for an event; implements `client_connections.Exchange`."""
 
     kind: str
     since: int
-    answer: Answer
+    respond: Respond
     timer: typing.Any = None
-    forget: Callable[["_Watch"], None] = lambda watch: None
+    on_cancel: Callable[["_Watch"], None] = lambda watch: None
 
     def client_gone(self) -> None:
-        """Forget the watch."""
+        """Cancel the watch."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        self.forget(self)
+        self.on_cancel(self)
 
 
 class PlatformStoreServer:
-    """The platform's store on a port.
+    """HTTP server with the protocol of the platform's store.
 
     Args:
         reactor: Source of time and timers.
-        engine: The objects; their values are whole, with ``Spec`` and ``Status``.
+        engine: Stored objects; each value is a dict with ``Spec`` and ``Status``.
+
+    Attributes:
+        mode: Failures of the stand-in.
+        calls: Method and target of every call received.
     """
 
     def __init__(self, reactor: typing.Any, engine: memory_store.MemoryStore) -> None:
@@ -68,12 +72,12 @@
         self._listener: typing.Any = None
         self.mode = Mode()
         self.calls: list[str] = []
-        engine.listen(self._changed)
+        engine.subscribe(self._on_event)
 
     def listen(self, host: str, port: int) -> interfaces.IListeningPort:
         """Listen on an address."""
         self._listener = client_connections.ClientListener(
-            self._reactor, self._handle, lambda: _LIMITS, _MAX_CONNECTIONS, _MAX_HELD_OCTETS
+            self._reactor, self._handle, lambda: _LIMITS, _MAX_CONNECTIONS, _MAX_BUFFERED_BYTES
         )
         return self._reactor.listenTCP(port, self._listener, interface=host)
 
@@ -82,70 +86,74 @@
         self._listener.abort()
 
     def put(self, kind: str, name: str, spec: typing.Any, status: typing.Any = None) -> None:
-        """Create or replace an object, as the platform's other writers do."""
+        """Create or replace an object directly in the engine."""
         now = self._reactor.seconds()
         value = {"Spec": spec, "Status": status}
-        held = self._engine.get(kind, name, now)
-        if held is None:
+        existing = self._engine.get(kind, name, now)
+        if existing is None:
             self._engine.create(kind, name, value, now)
         else:
-            self._engine.update(kind, name, value, held.version, now)
+            self._engine.update(kind, name, value, existing.version, now)
 
     def remove(self, kind: str, name: str) -> None:
-        """Remove an object if there is one."""
+        """Delete an object if it exists."""
         now = self._reactor.seconds()
-        held = self._engine.get(kind, name, now)
-        if held is not None:
-            self._engine.delete(kind, name, held.version, now)
+        existing = self._engine.get(kind, name, now)
+        if existing is not None:
+            self._engine.delete(kind, name, existing.version, now)
 
-    def forget(self) -> None:
-        """Give up the history, so that watches have to begin anew."""
-        self._engine.forget()
+    def compact(self) -> None:
+        """Drop the event history, so that watches expire and their callers list again."""
+        self._engine.compact()
 
     def _handle(
-        self, inbound: client_connections.Inbound, answer: Answer
+        self, inbound: client_connections.Inbound, respond: Respond
     ) -> client_connections.Exchange | None:
         target = inbound.head.target.decode("latin-1")
         self.calls.append(f"{inbound.head.method.decode()} {target}")
         if self.mode.silent:
             return None
         if self.mode.refuse_status:
-            answer(client_connections.own_answer(self.mode.refuse_status))
+            respond(client_connections.own_answer(self.mode.refuse_status))
             return None
         path, _, query = target.partition("?")
-        fields = dict(urllib.parse.parse_qsl(query))
+        parameters = dict(urllib.parse.parse_qsl(query))
         parts = path.removeprefix(names.OBJECTS_PATH).split("/")
         kind, name = parts[0], urllib.parse.unquote(parts[1]) if len(parts) > 1 else None
         try:
-            if "Watch" in fields:
-                return self._watch(kind, fields, answer)
-            plain = self._call(inbound, kind, name, fields)
+            if "Watch" in parameters:
+                return self._watch(kind, parameters, respond)
+            result = self._execute(inbound, kind, name, parameters)
         except objects.ConflictError:
-            answer(client_connections.own_answer(409))
+            respond(client_connections.own_answer(409))
         except objects.ExpiredError:
-            answer(client_connections.own_answer(410))
+            respond(client_connections.own_answer(410))
         except memory_store.RateLimitedError:
-            answer(client_connections.own_answer(429))
+            respond(client_connections.own_answer(429))
         else:
-            answer(_json(plain) if plain is not None else client_connections.own_answer(404))
+            respond(
+                _json_response(result)
+                if result is not None
+                else client_connections.own_answer(404)
+            )
         return None
 
-    def _call(
+    def _execute(
         self,
         inbound: client_connections.Inbound,
         kind: str,
         name: str | None,
-        fields: dict[str, str],
+        parameters: dict[str, str],
     ) -> typing.Any:
         now = self._reactor.seconds()
         method = inbound.head.method
         if method == b"GET" and name is None:
-            return self._page(kind, fields.get("after", ""), now)
+            return self._list_page(kind, parameters.get("after", ""), now)
         if method == b"GET":
-            held = self._engine.get(kind, typing.cast(str, name), now)
-            return None if held is None else _plain(held)
+            existing = self._engine.get(kind, typing.cast(str, name), now)
+            return None if existing is None else _encode_object(existing)
         if method == b"DELETE":
-            version = int(fields["Revision"])
+            version = int(parameters["Revision"])
             self._engine.delete(kind, typing.cast(str, name), version, now)
             return {}
         body = json.loads(inbound.body)
@@ -155,73 +163,73 @@
             version = self._engine.create(kind, meta["Name"], value, now)
         else:
             version = self._engine.update(kind, meta["Name"], value, meta["Revision"], now)
-        return _plain(objects.StoredObject(kind, meta["Name"], version, value))
+        return _encode_object(objects.StoredObject(kind, meta["Name"], version, value))
 
-    def _page(self, kind: str, after: str, now: float) -> typing.Any:
+    def _list_page(self, kind: str, after: str, now: float) -> typing.Any:
         listing = self._engine.list(kind, now)
-        rest = [item for item in listing.items if item.name > after]
+        remaining = [item for item in listing.items if item.name > after]
         return {
-            "items": [_plain(item) for item in rest[:_PAGE]],
-            "More": len(rest) > _PAGE,
+            "items": [_encode_object(item) for item in remaining[:_PAGE_SIZE]],
+            "More": len(remaining) > _PAGE_SIZE,
             "CurrentRev": listing.revision,
         }
 
     def _watch(
-        self, kind: str, fields: dict[str, str], answer: Answer
+        self, kind: str, parameters: dict[str, str], respond: Respond
     ) -> client_connections.Exchange | None:
         self._engine.admit_watch(self._reactor.seconds())
-        watch = _Watch(kind, int(fields["Watch"]), answer)
+        watch = _Watch(kind, int(parameters["Watch"]), respond)
         if self._answer_watch(watch):
             return None
-        wait_s = int(fields.get("WaitMs", "0")) / 1000
-        watch.forget = self._forget
+        wait_s = int(parameters.get("WaitMs", "0")) / 1000
+        watch.on_cancel = self._remove_watch
         watch.timer = self._reactor.callLater(wait_s, self._expire, watch)
         self._watches.append(watch)
         return watch
 
-    def _forget(self, watch: _Watch) -> None:
+    def _remove_watch(self, watch: _Watch) -> None:
         if watch in self._watches:
             self._watches.remove(watch)
 
     def _expire(self, watch: _Watch) -> None:
-        self._forget(watch)
-        self._answer_watch(watch, even_empty=True)
+        self._remove_watch(watch)
+        self._answer_watch(watch, allow_empty=True)
 
-    def _changed(self, event: objects.WatchEvent) -> None:
-        for watch in [held for held in self._watches if held.kind == event.kind]:
+    def _on_event(self, event: objects.WatchEvent) -> None:
+        for watch in [waiting for waiting in self._watches if waiting.kind == event.kind]:
             if not self.mode.silent and self._answer_watch(watch):
                 watch.timer.cancel()
-                self._forget(watch)
+                self._remove_watch(watch)
 
-    def _answer_watch(self, watch: _Watch, even_empty: bool = False) -> bool:
+    def _answer_watch(self, watch: _Watch, allow_empty: bool = False) -> bool:
         batch = self._engine.events_since((watch.kind,), watch.since)
-        if not batch.events and not even_empty:
+        if not batch.events and not allow_empty:
             return False
         events = [
             {
                 "Removed": event.value is None,
-                "Object": _plain(
+                "Object": _encode_object(
                     objects.StoredObject(event.kind, event.name, event.version, event.value)
                 ),
             }
             for event in batch.events
         ]
-        watch.answer(_json({"events": events, "CurrentRev": batch.revision}))
+        watch.respond(_json_response({"events": events, "CurrentRev": batch.revision}))
         return True
 
 
-def _plain(held: objects.StoredObject) -> dict[str, typing.Any]:
-    value = held.value or {}
+def _encode_object(item: objects.StoredObject) -> dict[str, typing.Any]:
+    value = item.value or {}
     meta = {
-        "Name": held.name,
-        "Revision": held.version,
-        "CreateRev": held.version,
+        "Name": item.name,
+        "Revision": item.version,
+        "CreateRev": item.version,
         "Finalizers": [],
         "Deleting": False,
     }
     return {"Metadata": meta, "Spec": value.get("Spec"), "Status": value.get("Status")}
 
 
-def _json(plain: typing.Any) -> http1.Answer:
+def _json_response(body: typing.Any) -> http1.Answer:
     headers = ((b"Content-Type", b"application/json"),)
-    return http1.Answer(200, b"OK", headers, json.dumps(plain).encode())
+    return http1.Answer(200, b"OK", headers, json.dumps(body).encode())
--- a/src/carobhook/standins/service_group.py
+++ b/src/carobhook/standins/service_group.py
@@ -1,4 +1,4 @@
-"""Stand-ins of backend servers that enter themselves into the platform's store."""
+"""Group of stand-in backend servers that register themselves in the platform's store."""
 
 import json
 import pathlib
@@ -17,15 +17,15 @@
 
 @attrs.frozen
 class ServerPlan:
-    """One server to run.
+    """Configuration of one server.
 
     Attributes:
-        name: Its id.
-        service: Service that it runs.
-        zone: Failure domain that it stands in.
-        address: ``host:port`` on which it listens.
-        slots: Requests that it runs at once.
-        work_s: Seconds that a request takes.
+        name: Id of the server.
+        service: Service that the server runs.
+        zone: Failure domain of the server.
+        address: ``host:port`` to listen on.
+        slots: Number of requests that the server runs at once.
+        work_s: Seconds for which a request runs.
     """
 
     name: str
@@ -37,26 +37,28 @@
 
 
 def read_plans(path: pathlib.Path) -> list[ServerPlan]:
-    """Return the servers that a JSON file lists, each with the fields of `ServerPlan`.
+    """Read a JSON file with a list of servers, each with the fields of `ServerPlan`.
 
     Raises:
         OSError: The file cannot be read.
-        ValueError: It does not hold a list of servers.
+        ValueError: The file does not hold a list of servers.
     """
-    plain = json.loads(path.read_text("utf-8"))
+    items = json.loads(path.read_text("utf-8"))
     try:
-        return [ServerPlan(**item) for item in plain]
-    except TypeError as problem:
-        raise ValueError(f"{path} must list servers: {problem}") from problem
+        return [ServerPlan(**item) for item in items]
+    except TypeError as error:
+        raise ValueError(f"{path} must list servers: {error}") from error
 
 
-def entry(plan: ServerPlan, state: str = "ready", born_ms: int = 1) -> dict[str, typing.Any]:
-    """Return what a server writes of itself into the store.
+def server_spec(
+    plan: ServerPlan, state: str = "ready", started_at_ms: int = 1
+) -> dict[str, typing.Any]:
+    """Return the ``Spec`` of the object by which a server registers in the store.
 
     Args:
         plan: The server.
-        state: Its state.
-        born_ms: Time of its start.
+        state: State of the server, ``ready`` or ``draining``.
+        started_at_ms: Time of the server's start in milliseconds.
     """
     info = {
         "Service": plan.service,
@@ -65,15 +67,18 @@
         "Slots": plan.slots,
     }
     status = {"State": state, "SeqNo": 1, "ColdRemaining": "0ms"}
-    return {"Address": plan.address, "Info": info, "Status": status, "born": born_ms}
+    return {"Address": plan.address, "Info": info, "Status": status, "born": started_at_ms}
 
 
 class ServiceGroup:
-    """Runs servers and keeps their entries in the store.
+    """Runs servers and registers them in the store.
 
     Args:
         reactor: The reactor.
-        store: The store.
+        store: Store in which the servers are registered.
+
+    Attributes:
+        servers: Running servers by their ids.
     """
 
     def __init__(self, reactor: typing.Any, store: objects.ObjectStore) -> None:
@@ -83,28 +88,30 @@
         self.servers: dict[str, platform_server.PlatformBackend] = {}
 
     async def start(self, plans: Iterable[ServerPlan]) -> None:
-        """Listen with each server, then enter it into the store."""
+        """Start each server, then register it in the store."""
         for plan in plans:
             server = platform_server.PlatformBackend(self._reactor, plan.name)
             server.behaviour = platform_server.Behaviour(slots=plan.slots, work_s=plan.work_s)
             host, _, port = plan.address.rpartition(":")
             self._ports.append(server.listen(host, int(port)))
             self.servers[plan.name] = server
-            await self._enter(plan)
+            await self._register(plan)
 
-    async def _enter(self, plan: ServerPlan) -> None:
-        """Write a server's entry, trying again until the store takes it."""
+    async def _register(self, plan: ServerPlan) -> None:
+        """Write a server's entry, with a retry until the store accepts it."""
         while True:
             try:
-                held = await self._store.get(names.SERVERS_KIND, plan.name)
-                if held is None:
-                    await self._store.create(names.SERVERS_KIND, plan.name, entry(plan))
+                existing = await self._store.get(names.SERVERS_KIND, plan.name)
+                if existing is None:
+                    await self._store.create(names.SERVERS_KIND, plan.name, server_spec(plan))
                 else:
-                    value = entry(plan, born_ms=held.version + 1)
-                    await self._store.update(names.SERVERS_KIND, plan.name, value, held.version)
+                    value = server_spec(plan, started_at_ms=existing.version + 1)
+                    await self._store.update(
+                        names.SERVERS_KIND, plan.name, value, existing.version
+                    )
                 return
             except objects.StoreError:
-                # The stand-in of the store may start later, or misbehave on purpose.
+                # The stand-in of the store may start later, or refuse calls on purpose.
                 await task.deferLater(self._reactor, _RETRY_S)
 
     async def stop(self) -> None:
--- a/tests/store_access.py
+++ b/tests/store_access.py
@@ -1,4 +1,4 @@
-"""The store's engine as coordination code sees it, with faults that tests set."""
+"""Object store for tests of coordination code, with failures that tests switch on."""
 
 from twisted.internet import defer
 
@@ -7,7 +7,15 @@
 
 
 class StoreAccess:
-    """Calls to an engine at once, on a clock; implements `objects.ObjectStore`."""
+    """Calls an in-memory engine directly; implements `objects.ObjectStore`.
+
+    Attributes:
+        engine: The engine.
+        clock: Clock of the test.
+        down: Whether every call fails before it reaches the engine.
+        lost_answers: Number of next writes that take effect but raise OutcomeUnknownError.
+        before_write: Function called before each write.
+    """
 
     def __init__(self, engine, clock):
         self.engine = engine
@@ -16,7 +24,7 @@
         self.lost_answers = 0
         self.before_write = lambda: None
 
-    def _check(self):
+    def _check_available(self):
         if self.down:
             raise objects.UnavailableError("down")
 
@@ -27,53 +35,59 @@
         return version
 
     async def get(self, kind, name):
-        """Return one object, or None."""
-        self._check()
+        """Return one object, or None if there is none."""
+        self._check_available()
         return self.engine.get(kind, name, self.clock.seconds())
 
     async def list(self, kind):
-        """Return all objects of a kind."""
-        self._check()
+        """Return all objects of one kind."""
+        self._check_available()
         return self.engine.list(kind, self.clock.seconds())
 
     async def create(self, kind, name, value):
-        """Create an object."""
-        self._check()
+        """Create an object; return its version."""
+        self._check_available()
         self.before_write()
         return self._written(self.engine.create(kind, name, value, self.clock.seconds()))
 
     async def update(self, kind, name, value, version):
-        """Replace an object."""
-        self._check()
+        """Replace an object; return its new version."""
+        self._check_available()
         self.before_write()
         now = self.clock.seconds()
         return self._written(self.engine.update(kind, name, value, version, now))
 
     async def probe(self, timeout_s):
-        """Find out whether the store answers."""
-        self._check()
+        """Raise an error if the store is down."""
+        self._check_available()
 
     async def watch(self, kinds, since, wait_s):
-        """Return events, as soon as there are some or the wait is over."""
-        self._check()
+        """Return the events after ``since`` once there are some, or none after ``wait_s``."""
+        self._check_available()
         batch = self.engine.events_since(kinds, since)
         if batch.events:
             return batch
-        changed = defer.Deferred()
-        forget = self.engine.listen(
-            lambda event: changed.called or changed.callback(None) if event.kind in kinds else 0
+        event_received = defer.Deferred()
+        unsubscribe = self.engine.subscribe(
+            lambda event: (
+                event_received.called or event_received.callback(None)
+                if event.kind in kinds
+                else 0
+            )
+        )
+        timer = self.clock.callLater(
+            wait_s, lambda: event_received.called or event_received.callback(None)
         )
-        timer = self.clock.callLater(wait_s, lambda: changed.called or changed.callback(None))
         try:
-            await changed
+            await event_received
         finally:
-            forget()
+            unsubscribe()
             if timer.active():
                 timer.cancel()
-        self._check()
+        self._check_available()
         return self.engine.events_since(kinds, since)
 
 
 def made(clock, **limits):
-    """Return access to a new engine."""
+    """Return access to a new engine with the given limits."""
     return StoreAccess(memory_store.MemoryStore(memory_store.Limits(**limits)), clock)
--- a/tests/test_memory_store.py
+++ b/tests/test_memory_store.py
@@ -16,10 +16,10 @@
 
 
 class TestWrites:
-    """Conditional creates, updates and deletes."""
+    """Tests of conditional creates, updates and deletes."""
 
-    def test_versions_rise_over_the_whole_store(self):
-        """Writes to different kinds share one counter, and deletes count as well."""
+    def test_versions_increase_across_kinds(self):
+        """Writes to all kinds share one revision counter, which deletes advance as well."""
         engine = memory_store.MemoryStore()
 
         first = engine.create("lease", "a", 1, 0.0)
@@ -30,7 +30,7 @@
         assert (first, second, third, engine.revision) == (1, 2, 4, 4)
 
     def test_create_of_an_existing_object_conflicts(self):
-        """A second create of a name changes nothing."""
+        """A create with the name of an existing object fails without effect."""
         engine = memory_store.MemoryStore()
         engine.create("k", "a", 1, 0.0)
 
@@ -41,7 +41,7 @@
 
     @pytest.mark.parametrize("name, version", [("a", 7), ("gone", 1)])
     def test_stale_update_and_delete_conflict(self, name, version):
-        """A write that names another version, or no object, changes nothing."""
+        """A write with an old version or the name of no object fails without effect."""
         engine = memory_store.MemoryStore()
         engine.create("k", "a", 1, 0.0)
 
@@ -53,7 +53,7 @@
         assert engine.list("k", 0.0).items == (objects.StoredObject("k", "a", 1, 1),)
 
     def test_values_over_a_megabyte_are_refused(self):
-        """A value may take 1 MB of JSON and not a byte more."""
+        """A value of exactly 1 MB of JSON is stored; one more byte is refused."""
         engine = memory_store.MemoryStore()
         fits = "x" * (memory_store.VALUE_LIMIT_BYTES - 2)
 
@@ -62,8 +62,8 @@
 
         assert engine.create("k", "a", fits, 0.0) == 1
 
-    def test_later_changes_of_a_value_do_not_reach_the_store(self):
-        """What was written stays as it was when the caller changes its copy."""
+    def test_value_is_copied_on_write(self):
+        """The store keeps a copy, which a caller cannot change through the value it passed."""
         engine = memory_store.MemoryStore()
         value = {"list": [1]}
         engine.create("k", "a", value, 0.0)
@@ -74,10 +74,10 @@
 
 
 class TestEvents:
-    """Event history and listeners."""
+    """Tests of the event history and of listeners."""
 
     def test_events_of_several_kinds_since_a_revision(self):
-        """Events of the kinds asked for come in order, after the revision."""
+        """Events of the given kinds after the revision are returned in order."""
         engine = memory_store.MemoryStore()
         engine.create("k", "a", 1, 0.0)
         engine.create("l", "b", 2, 0.0)
@@ -87,8 +87,11 @@
         assert _events(engine, "k", "l", since=1) == [("b", 2, 2), ("a", 4, None)]
         assert engine.events_since(["k"], 4).revision == 4
 
-    def test_forgotten_and_future_revisions_are_expired(self):
-        """A watch from before the kept events, or from a store long gone, must list again."""
+    def test_compacted_and_future_revisions_are_expired(self):
+        """A revision before the kept events, or above the store's own, raises ExpiredError.
+
+        A revision above the store's own was read from a store that no longer exists.
+        """
         engine = memory_store.MemoryStore(memory_store.Limits(kept_events=2))
         for name in "abc":
             engine.create("k", name, 0, 0.0)
@@ -100,24 +103,24 @@
 
         assert _events(engine, "k", since=1) == [("b", 2, 0), ("c", 3, 0)]
 
-    def test_a_stopped_listener_hears_nothing(self):
-        """A listener is called with each event until it is stopped."""
+    def test_unsubscribed_listener_gets_no_events(self):
+        """A listener is called with each event until it is unsubscribed."""
         engine = memory_store.MemoryStore()
-        heard: list[objects.WatchEvent] = []
-        stop = engine.listen(heard.append)
+        received: list[objects.WatchEvent] = []
+        unsubscribe = engine.subscribe(received.append)
         engine.create("k", "a", 1, 0.0)
 
-        stop()
+        unsubscribe()
         engine.create("k", "b", 1, 0.0)
 
-        assert [event.name for event in heard] == ["a"]
+        assert [event.name for event in received] == ["a"]
 
 
 class TestLimits:
-    """Rates and call counts."""
+    """Tests of rate limits and call counts."""
 
-    def test_writes_and_reads_have_rates_of_their_own(self):
-        """Calls over a rate are refused without effect, and counted."""
+    def test_writes_and_reads_have_separate_rate_limits(self):
+        """Calls over a rate limit are refused without effect, and counted."""
         limits = memory_store.Limits(writes_per_s=2, reads_per_s=3)
         engine = memory_store.MemoryStore(limits)
         engine.create("k", "a", 1, 0.0)
@@ -131,13 +134,13 @@
         assert engine.stats.calls == {"create": 4, "list": 1}
         assert engine.stats.refused == 1
 
-    def test_refused_calls_are_surely_without_effect(self):
-        """A call over the rate counts as unavailable to callers."""
+    def test_refused_calls_count_as_without_effect(self):
+        """A call over the rate limit is an UnavailableError, which means without effect."""
         assert issubclass(memory_store.RateLimitedError, objects.UnavailableError)
 
 
 class EngineMachine(stateful.RuleBasedStateMachine):
-    """The engine agrees with a plain dictionary, and its events replay to its lists."""
+    """Compares the engine with a dictionary, and its event history with its lists."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -157,10 +160,10 @@
 
     @stateful.rule(name=_NAMES, value=st.integers(), offset=st.integers(0, 1))
     def update(self, name, value, offset):
-        """An update succeeds exactly when it names the present version."""
-        held = self.model.get(name, (0, 0))[0]
+        """An update succeeds exactly when it names the current version."""
+        current = self.model.get(name, (0, 0))[0]
         try:
-            version = self.engine.update("k", name, value, held - offset, 0.0)
+            version = self.engine.update("k", name, value, current - offset, 0.0)
         except objects.ConflictError:
             assert offset == 1 or name not in self.model
             return
@@ -169,18 +172,20 @@
 
     @stateful.rule(name=_NAMES)
     def delete(self, name):
-        """A delete of the present version removes the object."""
+        """A delete with the current version removes the object."""
         if name in self.model:
             self.engine.delete("k", name, self.model.pop(name)[0], 0.0)
 
     @stateful.invariant()
     def events_replay_to_the_list(self):
-        """Replaying all events gives what a list shows."""
+        """Replaying all events gives the objects that a list returns."""
         replayed = {}
         for event in self.engine.events_since(["k"], 0).events:
             replayed[event.name] = (event.version, event.value)
-        live = {name: held for name, held in replayed.items() if held[1] is not None}
-        listed = {i.name: (i.version, i.value) for i in self.engine.list("k", 0.0).items}
+        live = {name: entry for name, entry in replayed.items() if entry[1] is not None}
+        listed = {
+            item.name: (item.version, item.value) for item in self.engine.list("k", 0.0).items
+        }
         assert live == listed == self.model
 
 
