--- a/src/carobhook/cli/soak.py
+++ b/src/carobhook/cli/soak.py
@@ -43,7 +43,7 @@
             try:
                 verdict = await run.Soak(reactor, seed, directory, options).run()
                 _tell(verdict)
-                if verdict.broken:
+                if verdict.violations:
                     failed.append(seed)
                     if keep is not None:
                         shutil.copytree(directory, keep / f"seed-{seed}", dirs_exist_ok=True)
@@ -51,12 +51,12 @@
                 shutil.rmtree(directory)
 
     def _tell(verdict: run.Verdict) -> None:
-        state = "BROKEN" if verdict.broken else "held"
+        state = "BROKEN" if verdict.violations else "held"
         typer.echo(f"seed {verdict.seed}: {state}, {verdict.served} of {verdict.sent} served")
-        if verdict.broken:
+        if verdict.violations:
             for step in verdict.steps:
                 typer.echo(f"  {step}")
-            for line in verdict.broken[:10]:
+            for line in verdict.violations[:10]:
                 typer.echo(f"  broken: {line}")
 
     def _main(_reactor: object) -> defer.Deferred:
--- a/src/carobhook/cli/standin.py
+++ b/src/carobhook/cli/standin.py
@@ -113,7 +113,7 @@
 
     async def _run(_reactor: object) -> None:
         await client.run(plans, rate, duration_s)
-        typer.echo(client.report.text())
+        typer.echo(client.report.to_json())
         client.stop()
 
     task.react(lambda loop: defer.ensureDeferred(_run(loop)))
--- a/src/carobhook/entry_settings.py
+++ b/src/carobhook/entry_settings.py
@@ -12,7 +12,7 @@
 
 def _is_duration(value: Any) -> bool:
     try:
-        durations.seconds(value)
+        durations.parse_seconds(value)
     except ValueError:
         return False
     return True
@@ -158,17 +158,17 @@
     @property
     def grace_s(self) -> float:
         """Return the grace in seconds."""
-        return durations.seconds(self.grace)
+        return durations.parse_seconds(self.grace)
 
     @property
     def ttl_max_s(self) -> float:
         """Return the longest time of a directory answer in seconds."""
-        return durations.seconds(self.ttl_max)
+        return durations.parse_seconds(self.ttl_max)
 
     @property
     def budget_window_s(self) -> float:
         """Return the window of the retry budget in seconds."""
-        return durations.seconds(self.budget_window)
+        return durations.parse_seconds(self.budget_window)
 
 
 @attrs.frozen
--- a/src/carobhook/platform/durations.py
+++ b/src/carobhook/platform/durations.py
@@ -5,7 +5,7 @@
 _DURATION = re.compile(r"(\d+(?:\.\d+)?)(ms|s)")
 
 
-def seconds(value: object) -> float:
+def parse_seconds(value: object) -> float:
     """Return the seconds of a duration such as ``1500ms`` or ``2.5s``.
 
     Args:
--- a/src/carobhook/platform/objects.py
+++ b/src/carobhook/platform/objects.py
@@ -29,7 +29,7 @@
     return _require(_require(raw, "Metadata", dict), "Name", str)
 
 
-def config(spec: typing.Any) -> routing.RoutingConfig:
+def decode_config(spec: typing.Any) -> routing.RoutingConfig:
     """Decode the routing configuration from the ``Spec`` of a stored object.
 
     Raises:
@@ -49,7 +49,7 @@
         raise MalformedObjectError(f"config: {error}") from error
 
 
-def server(raw: typing.Any) -> servers.ServerEntry:
+def decode_server(raw: typing.Any) -> servers.ServerEntry:
     """Decode the entry of a backend server from a stored object.
 
     Raises:
@@ -74,7 +74,7 @@
     if not address.rpartition(":")[2].isdigit():
         raise MalformedObjectError(f"Address must be host:port, got {address!r:.40}")
     try:
-        cold_s = durations.seconds(status.get("ColdRemaining", "0ms"))
+        cold_s = durations.parse_seconds(status.get("ColdRemaining", "0ms"))
     except ValueError as error:
         raise MalformedObjectError(f"ColdRemaining: {error}") from error
     # "born" is the Unix time of the server's start in milliseconds.
@@ -109,8 +109,8 @@
         prefix=_require(raw, "PathPrefix", str),
         # Requests of an unknown kind are never sent twice.
         idempotency=_IDEMPOTENCY_OF_KIND.get(kind, routing.Idempotency.ONCE),
-        timeout_s=durations.seconds(raw["Timeout"]),
-        target_s=durations.seconds(raw["TargetLatency"]),
+        timeout_s=durations.parse_seconds(raw["Timeout"]),
+        target_s=durations.parse_seconds(raw["TargetLatency"]),
         priority=int(raw.get("Priority", 0)),
         shares=shares,
         max_attempts=max(1, int(raw.get("MaxAttempts", 1))),
@@ -124,7 +124,7 @@
         name=ids.Service(_require(raw, "Name", str)),
         health_path=_require(raw, "HealthPath", str),
         max_connections=int(raw.get("MaxConnections", 1024)),
-        cold_start_s=durations.seconds(raw.get("ColdStart", "0s")),
+        cold_start_s=durations.parse_seconds(raw.get("ColdStart", "0s")),
         cold_per_s=float(raw.get("ColdPerS", 0.0)),
     )
 
@@ -133,8 +133,8 @@
     return routing.ClientLimits(
         max_header_bytes=_require(raw, "MaxHeaderBytes", int),
         max_body_bytes=_require(raw, "MaxBodyBytes", int),
-        header_timeout_s=durations.seconds(raw["HeaderTimeout"]),
-        idle_timeout_s=durations.seconds(raw["IdleTimeout"]),
+        header_timeout_s=durations.parse_seconds(raw["HeaderTimeout"]),
+        idle_timeout_s=durations.parse_seconds(raw["IdleTimeout"]),
     )
 
 
--- a/src/carobhook/platform/requests.py
+++ b/src/carobhook/platform/requests.py
@@ -33,10 +33,10 @@
     return http1.told_s(head, names.TIME_LEFT_MS, _MAX_TIME_LEFT_MS)
 
 
-class ServerWire:
+class ServerCodec:
     """Encodes request heads for backend servers and interprets their responses."""
 
-    def outgoing(
+    def build_request_head(
         self, head: http1.RequestHead, server: ids.Server, time_left_s: float
     ) -> http1.RequestHead:
         """Return the head of a request as it is sent to a backend server.
@@ -56,7 +56,7 @@
         headers.append((names.EXPECTED_SERVER.encode(), server.encode()))
         return http1.RequestHead(head.method, head.target, tuple(headers))
 
-    def belongs(self, response: http1.Answer, client_id: str | None) -> bool:
+    def matches_attempt(self, response: http1.Answer, client_id: str | None) -> bool:
         """Return whether a response belongs to a client's attempt.
 
         A response without an id, or to an attempt without one, counts as belonging to it.
@@ -68,7 +68,7 @@
         response_id = response.get(names.REQUEST_ID)
         return response_id is None or client_id is None or response_id == client_id
 
-    def work_end(self, response: http1.Answer) -> asks.WorkEnd:
+    def attempt_outcome(self, response: http1.Answer) -> asks.WorkEnd:
         """Return the outcome of an attempt that a backend server responded to."""
         if response.status == 421:
             return asks.WorkEnd.MISDIRECTED
@@ -79,7 +79,7 @@
         return asks.WorkEnd.ANSWERED
 
 
-def directory_query(target: bytes) -> own_calls.Lookup | None:
+def parse_directory_query(target: bytes) -> own_calls.Lookup | None:
     """Parse the target of a request to the directory.
 
     Args:
@@ -98,7 +98,7 @@
     )
 
 
-def directory_answer(addresses: list[str], ttl_s: float) -> http1.Answer:
+def encode_directory_response(addresses: list[str], ttl_s: float) -> http1.Answer:
     """Return the response to a directory lookup.
 
     Args:
--- a/src/carobhook/soak/deployment.py
+++ b/src/carobhook/soak/deployment.py
@@ -55,7 +55,7 @@
         self._servers_per_service = servers
         self._processes: dict[int, subprocess.Popen] = {}
         self._ports: list[typing.Any] = []
-        self._numbers: list[dict[str, int]] = []
+        self._instance_ports: list[dict[str, int]] = []
         self._config_version = 1
         self.store = platform_store.PlatformStoreServer(reactor, memory_store.MemoryStore())
         self.servers: list[platform_server.PlatformBackend] = []
@@ -67,7 +67,7 @@
     @property
     def directories(self) -> list[str]:
         """Return the directory addresses of the instances."""
-        return [f"{demo.HOST}:{ports['directory']}" for ports in self._numbers]
+        return [f"{demo.HOST}:{ports['directory']}" for ports in self._instance_ports]
 
     async def start(self) -> None:
         """Start all stand-ins and instances, and wait until the instances are ready."""
@@ -79,12 +79,12 @@
                 self._start_server(service.name, number)
         self.change_config()
         for index in range(self._instance_count):
-            self._numbers.append(await self._free_ports())
+            self._instance_ports.append(await self._free_ports())
             self.write_settings(index)
         for index in range(self._instance_count):
             self.start_instance(index)
         for index in range(self._instance_count):
-            await self.until_ready(index)
+            await self.wait_until_ready(index)
 
     def _start_server(self, service: str, number: int) -> None:
         name = f"{service}-{number}"
@@ -131,9 +131,11 @@
     def write_settings(self, index: int, ttl_max_s: int = 5) -> None:
         """Write the settings file of an instance."""
         zone = _ZONES[index % len(_ZONES)]
-        seeds = [f"{demo.HOST}:{ports['peers']}" for ports in self._numbers[:2]]
+        seeds = [f"{demo.HOST}:{ports['peers']}" for ports in self._instance_ports[:2]]
         place = {"name": f"i{index}", "region": demo.REGIONS[zone], "failure_domain": zone}
-        place |= {key: f"{demo.HOST}:{port}" for key, port in self._numbers[index].items()}
+        place |= {
+            key: f"{demo.HOST}:{port}" for key, port in self._instance_ports[index].items()
+        }
         sections: dict[str, typing.Any] = {
             "place": place | {"seeds": seeds},
             "store": {"address": self.store_proxy.address},
@@ -162,7 +164,7 @@
                 },
             )
 
-    async def until_ready(self, index: int) -> None:
+    async def wait_until_ready(self, index: int) -> None:
         """Wait until an instance has logged that it is ready.
 
         Raises:
--- a/src/carobhook/soak/run.py
+++ b/src/carobhook/soak/run.py
@@ -56,14 +56,14 @@
         steps: Injected faults.
         sent: Number of requests that clients sent.
         served: Number of requests that were served.
-        broken: Violated invariants, one line each.
+        violations: Violated invariants, one line each.
     """
 
     seed: int
     steps: tuple[faults.Step, ...]
     sent: int
     served: int
-    broken: tuple[str, ...]
+    violations: tuple[str, ...]
 
 
 class Soak:
--- a/src/carobhook/standins/platform_client.py
+++ b/src/carobhook/standins/platform_client.py
@@ -81,7 +81,7 @@
     latencies_s: list[float] = attrs.field(factory=list)
     unanswered: list[str] = attrs.field(factory=list)
 
-    def text(self) -> str:
+    def to_json(self) -> str:
         """Return the report as one JSON object."""
         latencies_s = sorted(self.latencies_s)
         median_s = latencies_s[len(latencies_s) // 2] if latencies_s else None
--- a/src/carobhook/standins/platform_server.py
+++ b/src/carobhook/standins/platform_server.py
@@ -69,7 +69,7 @@
     Attributes:
         name: Id of the server.
         behaviour: Responses and failures; may be changed at any time.
-        ran: Attempt ids of the requests that the server started to run.
+        started_ids: Attempt ids of the requests that the server started to run.
         starts: The same ids, each with the monotonic time of its start in seconds.
         cancelled: Number of requests whose connection closed while they ran.
         heads: Heads of all requests received.
@@ -80,7 +80,7 @@
         self.name = name
         self._connections: list[client_connections.ClientConnection] = []
         self.behaviour = Behaviour()
-        self.ran: list[str] = []
+        self.started_ids: list[str] = []
         self.starts: list[tuple[str, float]] = []
         self.cancelled = 0
         self.heads: list[http1.RequestHead] = []
@@ -123,7 +123,7 @@
             respond(shed)
             return None
         attempt_id = head.get(names.REQUEST_ID) or ""
-        self.ran.append(attempt_id)
+        self.started_ids.append(attempt_id)
         self.starts.append((attempt_id, self._reactor.seconds()))
         timer = self._reactor.callLater(self.behaviour.work_s, self._finish, head, respond)
         return _RunningRequest(timer, self._count_cancelled)
--- a/src/carobhook/transport/entry_answers.py
+++ b/src/carobhook/transport/entry_answers.py
@@ -56,8 +56,8 @@
     def take_directory(self, inbound: client_connections.Inbound, answer: _Answer) -> None:
         """Answer where a client connects to, in the form in which it asked."""
         target = inbound.head.target
-        encode = requests.directory_answer
-        lookup = requests.directory_query(target)
+        encode = requests.encode_directory_response
+        lookup = requests.parse_directory_query(target)
         if lookup is None:
             encode = own_calls.lookup_answer
             lookup = own_calls.lookup(target)
--- a/src/carobhook/transport/entry_requests.py
+++ b/src/carobhook/transport/entry_requests.py
@@ -70,7 +70,7 @@
         self._incarnation = incarnation
         self._ports = ports
         self._intake = intake.Intake(region, ports.orders)
-        self._wire = requests.ServerWire()
+        self._wire = requests.ServerCodec()
         self._quarantine = poison.Quarantine(own)
         self._flows: set[request_flow.RequestFlow] = set()
         self._taken = 0
--- a/src/carobhook/transport/request_flow.py
+++ b/src/carobhook/transport/request_flow.py
@@ -33,15 +33,15 @@
 class Wire(typing.Protocol):
     """How requests are written for servers and their answers read."""
 
-    def outgoing(
+    def build_request_head(
         self, head: http1.RequestHead, server: ids.Server, time_left_s: float
     ) -> http1.RequestHead:
         """Return the head of a request as a server gets it."""
 
-    def work_end(self, answer: http1.Answer) -> asks.WorkEnd:
+    def attempt_outcome(self, answer: http1.Answer) -> asks.WorkEnd:
         """Return what an answer says of its server."""
 
-    def belongs(self, answer: http1.Answer, client_id: str | None) -> bool:
+    def matches_attempt(self, answer: http1.Answer, client_id: str | None) -> bool:
         """Tell whether an answer is one to a client's attempt."""
 
 
@@ -277,7 +277,7 @@
                 refusals.Refusal(codes.Code.DEADLINE_UNMEETABLE, self._may_have_run, 1.0)
             )
             return False
-        head = self._wire.outgoing(accepted.inbound.head, grant.server, left_s)
+        head = self._wire.build_request_head(accepted.inbound.head, grant.server, left_s)
         self._server = grant.server
         self._sends += 1
         self._stage = Stage.RUNNING
@@ -287,7 +287,7 @@
             received = await self._servers.exchange(
                 grant.address, head, accepted.inbound.body, careful, self._belongs
             )
-            end = self._wire.work_end(received.answer)
+            end = self._wire.attempt_outcome(received.answer)
         except server_connections.ExchangeError as problem:
             end = self._failed(problem, grant)
             received = None
@@ -298,7 +298,7 @@
         return self._conclude(end, received, grant)
 
     def _belongs(self, answer: http1.Answer) -> bool:
-        return self._wire.belongs(answer, self._accepted.client_id)
+        return self._wire.matches_attempt(answer, self._accepted.client_id)
 
     def _failed(
         self, problem: server_connections.ExchangeError, grant: asks.SlotGrant
--- a/src/carobhook/transport/store_follow.py
+++ b/src/carobhook/transport/store_follow.py
@@ -293,7 +293,7 @@
         config = _decoded(
             f"{names.CONFIG_KIND}/{item.name}",
             item.value,
-            platform_objects.config,
+            platform_objects.decode_config,
             platform_objects.MalformedObjectError,
         )
         if config is not None and self._known.offer_config(config):
@@ -328,7 +328,7 @@
         entry = _decoded(
             f"{names.SERVERS_KIND}/{item.name}",
             item.value,
-            platform_objects.server,
+            platform_objects.decode_server,
             platform_objects.MalformedObjectError,
         )
         if entry is None:
--- a/tests/store_access.py
+++ b/tests/store_access.py
@@ -28,7 +28,7 @@
         if self.down:
             raise objects.UnavailableError("down")
 
-    def _written(self, version):
+    def _confirm_write(self, version):
         if self.lost_answers:
             self.lost_answers -= 1
             raise objects.OutcomeUnknownError("no answer")
@@ -48,14 +48,14 @@
         """Create an object; return its version."""
         self._check_available()
         self.before_write()
-        return self._written(self.engine.create(kind, name, value, self.clock.seconds()))
+        return self._confirm_write(self.engine.create(kind, name, value, self.clock.seconds()))
 
     async def update(self, kind, name, value, version):
         """Replace an object; return its new version."""
         self._check_available()
         self.before_write()
         now = self.clock.seconds()
-        return self._written(self.engine.update(kind, name, value, version, now))
+        return self._confirm_write(self.engine.update(kind, name, value, version, now))
 
     async def probe(self, timeout_s):
         """Raise an error if the store is down."""
@@ -88,6 +88,6 @@
         return self.engine.events_since(kinds, since)
 
 
-def made(clock, **limits):
+def create_access(clock, **limits):
     """Return access to a new engine with the given limits."""
     return StoreAccess(memory_store.MemoryStore(memory_store.Limits(**limits)), clock)
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -222,7 +222,7 @@
     @property
     def ran(self):
         """Return the ids that any server ran."""
-        return [one for backend in self.backends.values() for one in backend.ran]
+        return [one for backend in self.backends.values() for one in backend.started_ids]
 
     def behave(self, **fields):
         """Change how every server works."""
@@ -289,7 +289,7 @@
         first.behaviour = platform_server.Behaviour(shed=True)
         statuses = [(await self.request("/u/x", b"POST", b"1")).status for _ in range(4)]
         assert statuses == [200] * 4
-        assert len(second.ran) == 4
+        assert len(second.started_ids) == 4
 
     async def test_unreachable_server_is_left(self):
         """A connection that cannot be opened costs the client nothing."""
@@ -408,7 +408,7 @@
         await self.until(lambda: len(self.daemons[0]._known.servers(reactor.seconds())) == 1)
         for _ in range(4):
             await self.request()
-        assert self.backends["i-0"].ran == []
+        assert self.backends["i-0"].started_ids == []
 
     async def test_odd_entries_name_no_server(self):
         """Entries of other writers are passed over, and the others hold."""
@@ -462,7 +462,7 @@
         self.behave(work_s=0.2)
         backend = self.backends["i-0"]
         peak = []
-        loop = task.LoopingCall(lambda: peak.append(len(backend.ran)))
+        loop = task.LoopingCall(lambda: peak.append(len(backend.started_ids)))
         waiting = [
             defer.ensureDeferred(
                 self.request(instance=("one", "two")[n % 2], X_Attempt_Id=str(n))
@@ -471,7 +471,7 @@
         ]
         loop.start(0.02)
         await task.deferLater(reactor, 0.15, lambda: None)
-        assert len(backend.ran) <= 4
+        assert len(backend.started_ids) <= 4
         answers = await defer.gatherResults(waiting)
         loop.stop()
         assert {answer.status for answer in answers} <= {200, 503}
@@ -580,7 +580,7 @@
         assert (found["in_force"], found["total"]) == (1, 1)
         for number in range(6):
             assert (await self.request(X_Attempt_Id=str(number))).status == 200
-        assert not self.backends["i-0"].ran
+        assert not self.backends["i-0"].started_ids
         assert (await self.order("undrain server i-0"))[1]["version"] == 2
         await self.until(lambda: known.usable("i-0"))
         _, changes = await self.order("show changes")
--- a/tests/test_feeding.py
+++ b/tests/test_feeding.py
@@ -124,7 +124,7 @@
     def setup_method(self):
         """Let the second know all that the first does."""
         self.clock = task.Clock()
-        engine = store_access.made(self.clock).engine
+        engine = store_access.create_access(self.clock).engine
         self.access = {name: Access(engine, self.clock) for name in (OWN, OTHER)}
         self.engine = engine
         self.known = {name: catalog.Catalog() for name in (OWN, OTHER)}
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -14,7 +14,7 @@
     def setup_method(self):
         """Follow two kinds of a store that keeps three events."""
         self.clock = task.Clock()
-        self.access = store_access.made(self.clock, kept_events=3)
+        self.access = store_access.create_access(self.clock, kept_events=3)
         self.engine = self.access.engine
         self.heard: list[following.Message] = []
         self.engine.create("k", "a", 1, 0.0)
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -142,7 +142,7 @@
     def setup_method(self):
         """Make a store."""
         self.clock = task.Clock()
-        self.access = store_access.made(self.clock)
+        self.access = store_access.create_access(self.clock)
         self.orders = order_store.OrderStore(self.access, lambda: defer.succeed(None))
 
     def submit(self, text, order="o1", author="selam", base=None):
@@ -197,13 +197,13 @@
         """When the store goes away after a lost answer, nobody claims either way."""
         self.access.lost_answers = 1
 
-        original = self.access._written
+        original = self.access._confirm_write
 
         def written(version):
             self.access.down = True
             return original(version)
 
-        self.access._written = written
+        self.access._confirm_write = written
         fault = self.submit("set cap 20% per 10s").value
         assert fault.code is codes.Code.ORDER_UNKNOWN
         assert fault.code.run is codes.Run.UNKNOWN
--- a/tests/test_request_flow.py
+++ b/tests/test_request_flow.py
@@ -107,7 +107,7 @@
             accepted,
             self.desk,
             self.servers,
-            requests.ServerWire(),
+            requests.ServerCodec(),
             self.answers.append,
             self.outcomes.append,
             lambda: self.over.append(True),
--- a/tests/test_stuck_reader.py
+++ b/tests/test_stuck_reader.py
@@ -40,10 +40,10 @@
         )
         os.close(write)
 
-    async def until_ready(self, index):
+    async def wait_until_ready(self, index):
         """Wait until the platform would count it as ready."""
         connections = server_connections.ServerConnections(reactor, 1.0)
-        address = f"127.0.0.1:{self._numbers[index]['readiness']}"
+        address = f"127.0.0.1:{self._instance_ports[index]['readiness']}"
         head = http1.RequestHead(b"GET", b"/-/readiness", ((b"Host", b"x"),))
         for _ in range(100):
             try:
@@ -82,7 +82,7 @@
     async def omitted(self, one):
         """Return how many lines the instance that nobody reads has left out."""
         connections = server_connections.ServerConnections(reactor, 1.0)
-        address = f"127.0.0.1:{one._numbers[0]['metrics']}"
+        address = f"127.0.0.1:{one._instance_ports[0]['metrics']}"
         head = http1.RequestHead(b"GET", b"/metrics", ((b"Host", b"x"),))
         received = await connections.exchange(address, head, b"", careful=True)
         connections.stop()
@@ -97,7 +97,7 @@
     async def _call(self, one, index, number):
         await task.deferLater(reactor, number / _RATE)
         connections = server_connections.ServerConnections(reactor, 5.0)
-        address = f"127.0.0.1:{one._numbers[index]['http']}"
+        address = f"127.0.0.1:{one._instance_ports[index]['http']}"
         path = f"/nowhere-{'x' * 900}/{number}".encode()
         headers = ((b"Host", b"demo.example"), (b"X-Attempt-Id", str(number).encode()))
         began_at = reactor.seconds()
