--- a/src/carobhook/coordination/catalog.py
+++ b/src/carobhook/coordination/catalog.py
@@ -8,7 +8,7 @@
 
 # Servers whose entries expired during an outage of the store register again within about two
 # seconds after it; until then they stay in use.
-LAPSED_KEPT_S = 2.0
+GRACE_PERIOD_S = 2.0
 # No entry expires during an outage shorter than this, so that an entry that is missing after it
 # was removed on purpose.
 _MIN_OUTAGE_S = 1.0
@@ -45,10 +45,11 @@
     time, so that the first listing after it does not remove all servers of every service.
 
     Attributes:
-        empties: Returns whether operators drain a server so that it must get no new work.
+        is_fully_drained: Returns whether operators drain all slots of a server, so that it must
+            get no new work.
     """
 
-    empties: Callable[[servers.ServerEntry], bool] = attrs.field(
+    is_fully_drained: Callable[[servers.ServerEntry], bool] = attrs.field(
         default=lambda entry: False, init=False
     )
     _servers: dict[ids.Server, _KnownServer] = attrs.field(factory=dict, init=False)
@@ -72,7 +73,7 @@
         """Return the monotonic time since which the store has not answered, or None."""
         return self._lost_at
 
-    def offer_config(self, config: routing.RoutingConfig) -> bool:
+    def replace_config_if_newer(self, config: routing.RoutingConfig) -> bool:
         """Replace the configuration if a newer one is given; return whether it was newer."""
         if self._config is not None and config.version <= self._config.version:
             return False
@@ -83,7 +84,7 @@
         """Replace the evacuated failure domains."""
         self._evacuated = zones
 
-    def store_lost(self, now: float) -> None:
+    def record_outage(self, now: float) -> None:
         """Record that the store does not answer.
 
         Args:
@@ -92,7 +93,7 @@
         if self._lost_at is None:
             self._lost_at = now
 
-    def store_answered(self, now: float) -> None:
+    def record_answer(self, now: float) -> None:
         """Record that the store answers, and begin the grace period after an outage.
 
         Args:
@@ -101,7 +102,7 @@
         if self._lost_at is None:
             return
         if now - self._lost_at >= _MIN_OUTAGE_S:
-            self._grace_until = now + LAPSED_KEPT_S
+            self._grace_until = now + GRACE_PERIOD_S
         self._lost_at = None
 
     def put(self, entry: servers.ServerEntry, now: float) -> None:
@@ -150,7 +151,7 @@
         for name in [name for name in self._servers if name not in names]:
             self.remove(name, now)
 
-    def usable(self, name: ids.Server) -> bool:
+    def is_usable(self, name: ids.Server) -> bool:
         """Return whether a server may get requests, which an unknown one may not."""
         known = self._servers.get(name)
         if known is None:
@@ -158,7 +159,7 @@
         return (
             known.entry.state is servers.ServerState.READY
             and known.entry.zone not in self._evacuated
-            and not self.empties(known.entry)
+            and not self.is_fully_drained(known.entry)
         )
 
     def servers(self, now: float) -> list[ServerView]:
@@ -173,7 +174,7 @@
         return [
             ServerView(known.entry, known.cold_until)
             for name, known in self._servers.items()
-            if self.usable(name)
+            if self.is_usable(name)
         ]
 
     def servers_of(self, service: ids.Service, now: float) -> list[ServerView]:
--- a/src/carobhook/coordination/directory.py
+++ b/src/carobhook/coordination/directory.py
@@ -38,7 +38,9 @@
     return in_region or list(serving)
 
 
-def chosen(near: Sequence[members.Member], client: str, now: float) -> list[members.Member]:
+def choose_weighted(
+    near: Sequence[members.Member], client: str, now: float
+) -> list[members.Member]:
     """Return the instances for one client: a random draw in proportion to their weights.
 
     The draw for a client changes every 20 seconds. If all weights are equal, all instances are
--- a/src/carobhook/coordination/membership.py
+++ b/src/carobhook/coordination/membership.py
@@ -12,7 +12,7 @@
 from carobhook.state import ids, members
 
 DEAD_AFTER_S = 1.4
-RELAYS = 4
+RELAYS_PER_REGION = 4
 # A relay has at least this fraction of the highest weight in its region, so that instances on
 # small machines do not forward the membership of others.
 _MIN_RELAY_WEIGHT = 0.5
@@ -32,7 +32,7 @@
     _members: dict[ids.InstanceId, members.Member] = attrs.field(factory=dict, init=False)
     _last_seen_at: dict[ids.InstanceId, float] = attrs.field(factory=dict, init=False)
 
-    def heard(self, member: members.Member, now: float) -> None:
+    def record_heartbeat(self, member: members.Member, now: float) -> None:
         """Record a heartbeat.
 
         Args:
@@ -45,12 +45,12 @@
             self._members[member.name] = member
         self._last_seen_at[member.name] = now
 
-    def touched(self, name: ids.InstanceId, now: float) -> None:
+    def refresh(self, name: ids.InstanceId, now: float) -> None:
         """Record that an instance is live; an unknown instance is ignored."""
         if name in self._members:
             self._last_seen_at[name] = now
 
-    def lost(self, name: ids.InstanceId) -> None:
+    def remove(self, name: ids.InstanceId) -> None:
         """Remove an instance."""
         self._members.pop(name, None)
         self._last_seen_at.pop(name, None)
@@ -76,7 +76,7 @@
         return [m for m in self.live(now) if m.phase is members.Phase.READY]
 
 
-def rendezvous(key: str, names: Iterable[str]) -> list[str]:
+def rendezvous_order(key: str, names: Iterable[str]) -> list[str]:
     """Return names in the order of preference by rendezvous hashing of a key.
 
     Args:
@@ -94,9 +94,9 @@
     """Return the relays of a region, in order of preference.
 
     Relays exchange membership with other regions on behalf of their own, and may follow the
-    store for it. At most `RELAYS` of its stronger instances are relays, so that small machines
-    send only their own messages; in a region of few instances, all are relays. Instances that
-    are leaving are relays only if the region has no others.
+    store for it. At most `RELAYS_PER_REGION` of its stronger instances are relays, so that
+    small machines send only their own messages; in a region of few instances, all are relays.
+    Instances that are leaving are relays only if the region has no others.
 
     Args:
         known: Instances to choose from; those of other regions are ignored.
@@ -109,11 +109,11 @@
         return []
     highest = max(member.weight for member in candidates)
     eligible = [m.name for m in candidates if m.weight >= _MIN_RELAY_WEIGHT * highest]
-    if len(eligible) < RELAYS:
+    if len(eligible) < RELAYS_PER_REGION:
         by_weight = sorted(candidates, key=lambda m: (-m.weight, m.name))
-        eligible = [m.name for m in by_weight[:RELAYS]]
-    order = rendezvous(f"relay/{region}", eligible)
-    return [by_name[ids.InstanceId(name)] for name in order[:RELAYS]]
+        eligible = [m.name for m in by_weight[:RELAYS_PER_REGION]]
+    order = rendezvous_order(f"relay/{region}", eligible)
+    return [by_name[ids.InstanceId(name)] for name in order[:RELAYS_PER_REGION]]
 
 
 def shard_owner(
@@ -130,5 +130,5 @@
         serving: Instances that accept new work.
     """
     names = [m.name for m in relays(serving, region)] or [m.name for m in serving]
-    order = rendezvous(f"{region}/{service}", names)
+    order = rendezvous_order(f"{region}/{service}", names)
     return ids.InstanceId(order[0]) if order else None
--- a/src/carobhook/coordination/rosters.py
+++ b/src/carobhook/coordination/membership_sync.py
@@ -2,8 +2,8 @@
 
 Load pattern: a fleet of many machines, some with links of a few Mbit/s, whose instances must
 know within about two seconds which others are live. Each instance sends heartbeats only to the
-relays of its region. Relays report the instances of their region to the relays of other
-regions, and all instances to their own region; a report holds only what changed.
+relays of its region. Relays send the instances of their region to the relays of other regions,
+and all instances to their own region; an update holds only what changed.
 """
 
 from collections.abc import Iterable, Mapping
@@ -23,13 +23,13 @@
 
 
 @attrs.define
-class Roster:
+class MembershipSync:
     """Membership as one instance knows it, and the source of each entry.
 
     Attributes:
         own: Name of this instance.
         region: Region of this instance.
-        table: Instances known by their own heartbeats or from a relay's report.
+        table: Instances known by their own heartbeats or from a relay's updates.
     """
 
     own: ids.InstanceId
@@ -40,61 +40,61 @@
         factory=dict, init=False
     )
     _last_used_at: dict[ids.InstanceId, float] = attrs.field(factory=dict, init=False)
-    _reported: dict[ids.InstanceId, dict[ids.InstanceId, members.Member]] = attrs.field(
+    _sent: dict[ids.InstanceId, dict[ids.InstanceId, members.Member]] = attrs.field(
         factory=dict, init=False
     )
     _received: dict[ids.InstanceId, dict[ids.InstanceId, members.Member]] = attrs.field(
         factory=dict, init=False
     )
 
-    def heard(self, member: members.Member, now: float) -> None:
+    def record_heartbeat(self, member: members.Member, now: float) -> None:
         """Record a heartbeat that came from the instance itself."""
         self._direct_at[member.name] = now
         self._record(member, now)
 
-    def told(
+    def apply_update(
         self, sender: ids.InstanceId, message: greetings.RosterTold, now: float
     ) -> list[ids.InstanceId]:
-        """Apply a relay's report and return the instances that it removed.
+        """Apply an update of another instance and return the instances that it removed.
 
         Instances that send heartbeats to this one directly are left as they are.
 
         Args:
-            sender: Instance that sent the report.
-            message: The report.
+            sender: Relay, or an instance on a new stream, that sent the update.
+            message: The update.
             now: Monotonic time in seconds.
         """
         if message.is_whole:
             self._received.pop(sender, None)
         received = self._received.setdefault(sender, {})
-        updates = {member.name: member for member in message.members}
-        received.update(updates)
+        changed = {member.name: member for member in message.members}
+        received.update(changed)
         removed = []
         for name in message.lost:
             received.pop(name, None)
             if self._is_removable(name, now):
                 removed.append(name)
-                self.lost(name, now)
+                self.remove(name, now)
         for name, member in received.items():
-            if name == self.own or self.is_direct(name, now):
+            if name == self.own or self.has_direct_heartbeat(name, now):
                 continue
             known = self.table.get(name)
-            if known is None or name in updates:
+            if known is None or name in changed:
                 self._record(member, now)
             else:
-                self.table.touched(name, now)
+                self.table.refresh(name, now)
         return removed
 
     def _is_removable(self, name: ids.InstanceId, now: float) -> bool:
-        """Return whether to remove a known instance that a relay reports as gone.
+        """Return whether to remove a known instance that a relay lists as lost.
 
-        Heartbeats that this instance receives itself take precedence over the report.
+        Heartbeats that this instance receives itself take precedence over the update.
         """
-        if name == self.own or self.is_direct(name, now):
+        if name == self.own or self.has_direct_heartbeat(name, now):
             return False
         return self.table.get(name) is not None
 
-    def lost(self, name: ids.InstanceId, now: float) -> None:
+    def remove(self, name: ids.InstanceId, now: float) -> None:
         """Remove an instance, but remember it so that streams to it are tried again.
 
         Args:
@@ -104,30 +104,30 @@
         member = self.table.get(name)
         if member is not None:
             self._recent[name] = (member, now)
-        self.table.lost(name)
+        self.table.remove(name)
         self._direct_at.pop(name, None)
-        self._reported.pop(name, None)
+        self._sent.pop(name, None)
         self._received.pop(name, None)
 
-    def unneeded(self, name: ids.InstanceId) -> None:
-        """Record that an instance closes its stream, so that only relays report it from now on.
+    def record_stream_closing(self, name: ids.InstanceId) -> None:
+        """Record that an instance closes its stream and is known only from relays now.
 
         Without this, the end of the stream would count as the end of the instance.
         """
         self._direct_at.pop(name, None)
 
-    def greeted(self, name: ids.InstanceId) -> None:
-        """Make the next report to an instance a full one, as after a new stream to it opened.
+    def reset_updates(self, name: ids.InstanceId) -> None:
+        """Make the next update to an instance a full one, because it has a new stream.
 
-        The instance may have lost what earlier reports told it.
+        The instance may not have what was sent on earlier streams.
         """
-        self._reported.pop(name, None)
+        self._sent.pop(name, None)
 
-    def used(self, name: ids.InstanceId, now: float) -> None:
+    def record_use(self, name: ids.InstanceId, now: float) -> None:
         """Record that the stream to an instance was used, which keeps it open for a while."""
         self._last_used_at[name] = now
 
-    def is_direct(self, name: ids.InstanceId, now: float) -> bool:
+    def has_direct_heartbeat(self, name: ids.InstanceId, now: float) -> bool:
         """Return whether an instance is live by heartbeats received from itself."""
         at = self._direct_at.get(name)
         return at is not None and now - at <= self.table.dead_after_s
@@ -160,7 +160,7 @@
             return 1 / (known + 1)
         return live / max(live, known)
 
-    def wanted(self, now: float) -> list[str]:
+    def stream_addresses(self, now: float) -> list[str]:
         """Return the peer addresses to which this instance keeps streams, sorted.
 
         These are the relays of its region, or of all regions and its whole region if it is a
@@ -186,10 +186,10 @@
         found.pop(self.own, None)
         return sorted(member.peers for member in found.values())
 
-    def reports(self, now: float) -> Mapping[ids.InstanceId, greetings.RosterTold]:
-        """Return the reports that this instance now sends as a relay, by receiver.
+    def next_updates(self, now: float) -> Mapping[ids.InstanceId, greetings.RosterTold]:
+        """Return the updates that this instance now sends as a relay, by receiver.
 
-        The result is empty if it is no relay. The reports count as sent: the next ones hold
+        The result is empty if it is no relay. The updates count as sent: the next ones hold
         only what changed after them.
 
         Args:
@@ -203,35 +203,33 @@
         found: dict[ids.InstanceId, greetings.RosterTold] = {}
         for member in live:
             if member.region == self.region and member.name not in own_relays:
-                found[member.name] = self._build_report(member.name, live)
+                found[member.name] = self._build_update(member.name, live)
         for region in {member.region for member in live} - {self.region}:
             for name in self._relay_names(live, region):
-                # Relays of other regions get only what this relay knows at first hand, as a
-                # report that relays passed on to each other would circulate without end.
-                found[name] = self._build_report(name, direct)
+                # Relays of other regions get only what this relay knows at first hand, as
+                # updates that relays passed on to each other would circulate without end.
+                found[name] = self._build_update(name, direct)
         return found
 
     def _is_first_hand(self, member: members.Member, now: float) -> bool:
-        return member.name == self.own or self.is_direct(member.name, now)
+        return member.name == self.own or self.has_direct_heartbeat(member.name, now)
 
-    def _build_report(
+    def _build_update(
         self, receiver: ids.InstanceId, live: Iterable[members.Member]
     ) -> greetings.RosterTold:
-        """Return the changes since the last report to an instance, and record them as sent."""
-        is_whole = receiver not in self._reported
-        reported = self._reported.setdefault(receiver, {})
+        """Return the changes since the last update to an instance, and record them as sent."""
+        is_whole = receiver not in self._sent
+        sent = self._sent.setdefault(receiver, {})
         others = {member.name: member for member in live if member.name != receiver}
-        updates = tuple(
-            member for name, member in others.items() if reported.get(name) != member
-        )
-        removed = tuple(name for name in reported if name not in others)
+        changed = tuple(member for name, member in others.items() if sent.get(name) != member)
+        removed = tuple(name for name in sent if name not in others)
         for name in removed:
-            del reported[name]
-        reported.update((member.name, member) for member in updates)
-        return greetings.RosterTold(updates, removed, is_whole)
+            del sent[name]
+        sent.update((member.name, member) for member in changed)
+        return greetings.RosterTold(changed, removed, is_whole)
 
     def _record(self, member: members.Member, now: float) -> None:
-        self.table.heard(member, now)
+        self.table.record_heartbeat(member, now)
         self._recent[member.name] = (member, now)
 
     def _recent_members(self, now: float) -> list[members.Member]:
--- a/src/carobhook/coordination/following.py
+++ b/src/carobhook/coordination/object_watch.py
@@ -12,7 +12,7 @@
 
 
 @attrs.frozen
-class Listed:
+class Snapshot:
     """All objects of the watched kinds; they replace all that were received before.
 
     Attributes:
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen
-class Changed:
+class Changes:
     """Changes since the last listing or the changes before, in the order of their versions.
 
     Attributes:
@@ -40,33 +40,33 @@
 
 
 @attrs.frozen
-class Interrupted:
+class WatchFailure:
     """A call to the store failed; the objects received so far stay in use."""
 
     error: objects.StoreError
 
 
-Message = Listed | Changed | Interrupted
-Handler = Callable[[Message], object]
+Update = Snapshot | Changes | WatchFailure
+Handler = Callable[[Update], object]
 
 
 @attrs.frozen
-class FollowOptions:
+class WatchOptions:
     """Settings of a watch.
 
     Attributes:
         wait_s: Seconds that one call waits for an event.
         delays: Delays before the next call after failures.
-        pause_s: Seconds between the events of one call and the next call, which returns all
-            events of that time in one batch.
+        batch_delay_s: Seconds between the events of one call and the next call, which returns
+            all events of that time in one batch.
     """
 
     wait_s: float = attrs.field(default=5.0, validator=validators.gt(0))
     delays: backoff.Backoff = attrs.field(factory=backoff.Backoff)
-    pause_s: float = attrs.field(default=0.0, validator=validators.ge(0))
+    batch_delay_s: float = attrs.field(default=0.0, validator=validators.ge(0))
 
 
-class Follower:
+class ObjectWatcher:
     """Task that passes every change to objects of some kinds to a handler.
 
     The handler gets all objects, then each change once, in the order of versions. After a
@@ -91,7 +91,7 @@
         kinds: Sequence[str],
         handler: Handler,
         *,
-        options: FollowOptions | None = None,
+        options: WatchOptions | None = None,
         resume_at: int | None = None,
     ) -> None:
         self._store = store
@@ -99,7 +99,7 @@
         self._rng = rng
         self._kinds = tuple(kinds)
         self._handler = handler
-        self._options = options or FollowOptions()
+        self._options = options or WatchOptions()
         self._since = resume_at
         self._listed_at: dict[str, int] = dict.fromkeys(self._kinds, resume_at or 0)
         self._failures = 0
@@ -131,7 +131,7 @@
             except objects.ExpiredError:
                 self._since = None
             except objects.StoreError as error:
-                self._handler(Interrupted(error))
+                self._handler(WatchFailure(error))
                 delay_s = self._options.delays.delay_s(self._failures, self._rng)
                 self._failures += 1
                 await task.deferLater(self._clock, delay_s)
@@ -143,10 +143,10 @@
         batch = await self._store.watch(self._kinds, self._since, self._options.wait_s)
         new = [event for event in batch.events if event.version > self._listed_at[event.kind]]
         if new:
-            self._handler(Changed(tuple(new), self._since, batch.revision))
+            self._handler(Changes(tuple(new), self._since, batch.revision))
         self._since = batch.revision
-        if new and self._options.pause_s:
-            await task.deferLater(self._clock, self._options.pause_s)
+        if new and self._options.batch_delay_s:
+            await task.deferLater(self._clock, self._options.batch_delay_s)
 
     async def _list(self) -> None:
         listings = {}
@@ -155,4 +155,4 @@
         self._listed_at = {kind: listings[kind].revision for kind in self._kinds}
         self._since = min(self._listed_at.values())
         items = {kind: listing.items for kind, listing in listings.items()}
-        self._handler(Listed(items, self._since))
+        self._handler(Snapshot(items, self._since))
--- a/src/carobhook/coordination/poison.py
+++ b/src/carobhook/coordination/poison.py
@@ -10,7 +10,7 @@
 
 MARK_LIFETIME_S = 600.0
 # A request is refused after this many broken connections without a complete answer.
-MARKS_OF_POISON = 3
+MARK_LIMIT = 3
 _MAX_MARKED = 10_000
 _MAX_SEEN_MARKS = 20_000
 
@@ -53,35 +53,35 @@
 
     Attributes:
         own: Name of this instance.
-        marks_of_poison: Number of marks from which a request is refused.
+        mark_limit: Number of marks from which a request is refused.
     """
 
     own: ids.InstanceId
-    marks_of_poison: int = MARKS_OF_POISON
+    mark_limit: int = MARK_LIMIT
     _marks: dict[Fingerprint, dict[str, Mark]] = attrs.field(factory=dict, init=False)
     _seen_marks: collections.OrderedDict[str, None] = attrs.field(
         factory=collections.OrderedDict, init=False
     )
 
     @property
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Return whether no request has marks."""
         return not self._marks
 
-    def refuses(self, fingerprint: Fingerprint, now: float) -> bool:
+    def is_quarantined(self, fingerprint: Fingerprint, now: float) -> bool:
         """Return whether a request has so many marks that it is refused.
 
         Args:
             fingerprint: Fingerprint of the request.
             now: Monotonic time in seconds.
         """
-        return len(self._live_marks(fingerprint, now)) >= self.marks_of_poison
+        return len(self._live_marks(fingerprint, now)) >= self.mark_limit
 
     def clear(self, fingerprint: Fingerprint) -> bool:
         """Remove the marks of a completely answered request; return whether it had any."""
         return self._marks.pop(fingerprint, None) is not None
 
-    def broke(self, fingerprint: Fingerprint, name: str, now: float) -> Mark:
+    def record_failure(self, fingerprint: Fingerprint, name: str, now: float) -> Mark:
         """Add and return a mark for a connection of this instance that broke.
 
         Args:
--- a/src/carobhook/coordination/feeding.py
+++ b/src/carobhook/coordination/store_feed.py
@@ -2,8 +2,9 @@
 
 Load pattern: every change of an object costs a call for each instance that watches it, so one
 instance of a region watches the store and sends the changes to the others. They rely on its
-feed only while it confirms, several times a second, that the store answers it and that it has
-sent every change. Without these confirmations each instance follows the store itself.
+feed only while it sends progress messages, several times a second: these say that the store
+answers it, and up to which revisions it has sent every change. Without progress messages each
+instance follows the store itself.
 """
 
 import math
@@ -14,12 +15,12 @@
 from carobhook.coordination import membership
 from carobhook.state import ids, members
 
-# The confirmations that a feed is fresh are sent this often, and each is valid this long.
-PROOF_INTERVAL_S = 0.3
-_FRESHNESS_LIFETIME_S = 1.0
+# Progress messages are sent this often, and a feed counts as fresh this long after each.
+PROGRESS_INTERVAL_S = 0.3
+_PROGRESS_LIFETIME_S = 1.0
 # Least time between two subscriptions to a feed that is not fresh.
 _SUBSCRIBE_INTERVAL_S = 0.6
-# A feed confirms its freshness only while the last answer of the store is not older than this.
+# Progress messages are sent only while the last answer of the store is not older than this.
 _ANSWER_LIFETIME_S = 1.1
 # A starting instance waits before it lists the store, so that a fleet that starts at once does
 # not list it from every machine. A relay waits for heartbeats of others, any instance for the
@@ -29,8 +30,8 @@
 _RELAY_WAIT_S = 2.5
 
 
-def in_touch(answered_at: float, now: float) -> bool:
-    """Return whether the store's last answer is recent enough to call a feed fresh.
+def has_recent_answer(answered_at: float, now: float) -> bool:
+    """Return whether the store's last answer is recent enough to send a progress message.
 
     Args:
         answered_at: Monotonic time in seconds of its last answer.
@@ -48,27 +49,27 @@
     """
     eligible = [m for m in serving if m.region == region and m.reaches_store]
     names = [m.name for m in membership.relays(eligible, region)]
-    ordered = membership.rendezvous(f"feed/{region}", names)
+    ordered = membership.rendezvous_order(f"feed/{region}", names)
     return [ids.InstanceId(name) for name in ordered]
 
 
 @attrs.frozen
-class Step:
+class SourceDecision:
     """Where an instance gets the store's changes from at present.
 
     Attributes:
         direct: Whether it follows the store itself.
         source: Instance whose feed replaces the store, or None.
-        ask: Instance to whose feed it now subscribes, or None.
+        subscribe_to: Instance to whose feed it now subscribes, or None.
     """
 
     direct: bool
     source: ids.InstanceId | None
-    ask: ids.InstanceId | None
+    subscribe_to: ids.InstanceId | None
 
 
 @attrs.define
-class SourceChoice:
+class SourceSelector:
     """Selects the source from which one instance gets the store's changes.
 
     Attributes:
@@ -76,23 +77,23 @@
     """
 
     own: ids.InstanceId
-    _fresh_at: dict[ids.InstanceId, float] = attrs.field(factory=dict, init=False)
+    _progress_at: dict[ids.InstanceId, float] = attrs.field(factory=dict, init=False)
     _subscribed_at: float = attrs.field(default=-math.inf, init=False)
     _started_at: float | None = attrs.field(default=None, init=False)
 
-    def told_fresh(self, sender: ids.InstanceId, is_current: bool, now: float) -> None:
-        """Record the confirmation of an instance that its feed is fresh.
+    def record_progress(self, sender: ids.InstanceId, is_current: bool, now: float) -> None:
+        """Record a progress message.
 
         Args:
-            sender: The instance.
+            sender: Instance that sent it.
             is_current: Whether this instance has every change that the sender has sent; if
-                not, the feed is not used until a later confirmation.
+                not, the feed counts as stale until a later progress message.
             now: Monotonic time in seconds.
         """
         if is_current:
-            self._fresh_at[sender] = now
+            self._progress_at[sender] = now
         else:
-            self._fresh_at.pop(sender, None)
+            self._progress_at.pop(sender, None)
 
     def decide(
         self,
@@ -100,7 +101,7 @@
         relays: Collection[ids.InstanceId],
         is_complete: bool,
         now: float,
-    ) -> Step:
+    ) -> SourceDecision:
         """Return the source to use now; a subscription in it counts as sent.
 
         Args:
@@ -113,19 +114,19 @@
             self._started_at = now
         source = candidates[0] if candidates else None
         if source == self.own:
-            return Step(True, None, None)
+            return SourceDecision(True, None, None)
         waited_s = now - self._started_at
         if source is None:
             wait_s = _HEARTBEAT_WAIT_S if self.own in relays else _RELAY_WAIT_S
-            return Step(is_complete or waited_s >= wait_s, None, None)
-        age_s = now - self._fresh_at.get(source, -math.inf)
-        is_fresh = is_complete and age_s <= _FRESHNESS_LIFETIME_S
+            return SourceDecision(is_complete or waited_s >= wait_s, None, None)
+        age_s = now - self._progress_at.get(source, -math.inf)
+        is_fresh = is_complete and age_s <= _PROGRESS_LIFETIME_S
         subscribe_to = None
         if not is_fresh and now - self._subscribed_at >= _SUBSCRIBE_INTERVAL_S:
             subscribe_to = source
             self._subscribed_at = now
         is_starting = not is_complete and waited_s < _FIRST_FEED_WAIT_S
-        return Step(
+        return SourceDecision(
             not is_fresh and not is_starting, source if is_fresh else None, subscribe_to
         )
 
@@ -135,7 +136,7 @@
     """Instances that are subscribed to the feed of this one."""
 
     _names: set[ids.InstanceId] = attrs.field(factory=set, init=False)
-    _confirmed_at: float = attrs.field(default=-math.inf, init=False)
+    _progress_sent_at: float = attrs.field(default=-math.inf, init=False)
 
     @property
     def names(self) -> list[ids.InstanceId]:
@@ -147,16 +148,14 @@
         self._names.add(name)
 
     def due(self, now: float) -> list[ids.InstanceId]:
-        """Return the subscribers to send a freshness confirmation to, if one is due.
-
-        The confirmation counts as sent.
+        """Return the subscribers if a progress message to them is due, which counts as sent.
 
         Args:
             now: Monotonic time in seconds.
         """
-        if now - self._confirmed_at < PROOF_INTERVAL_S:
+        if now - self._progress_sent_at < PROGRESS_INTERVAL_S:
             return []
-        self._confirmed_at = now
+        self._progress_sent_at = now
         return self.names
 
     def remove(self, name: ids.InstanceId) -> None:
--- a/src/carobhook/transport/entry_answers.py
+++ b/src/carobhook/transport/entry_answers.py
@@ -75,5 +75,5 @@
         now = self._reactor.seconds()
         serving = self._roster.serving(now)
         near = directory.nearest(serving, lookup.region, lookup.failure_domain)
-        told = directory.chosen(near, client, now)
+        told = directory.choose_weighted(near, client, now)
         return [member.http for member in told[:_MOST_ADDRESSES]]
--- a/src/carobhook/transport/entry_daemon.py
+++ b/src/carobhook/transport/entry_daemon.py
@@ -10,7 +10,7 @@
 from twisted.internet import defer, task
 
 from carobhook import entry_metrics, entry_settings, logs
-from carobhook.coordination import catalog, feeding, membership, steering
+from carobhook.coordination import catalog, membership, steering, store_feed
 from carobhook.platform import names, store
 from carobhook.protocol import feed_messages, slot_messages
 from carobhook.state import ids, members, routing
@@ -84,7 +84,7 @@
         self._phase = members.Phase.STARTING
         self._known = catalog.Catalog()
         self._orders = steering.Steering(settings.regions)
-        self._known.empties = self._orders.empties
+        self._known.is_fully_drained = self._orders.empties
         self._store = store.PlatformStore(
             reactor, settings.store.address, settings.store.timeout_s, (names.SERVERS_KIND,)
         )
@@ -405,7 +405,7 @@
 
     def _feed_candidates(self) -> list[ids.InstanceId]:
         serving = self._streams.roster.serving(self._reactor.seconds())
-        return feeding.candidates(serving, self._settings.place.region)
+        return store_feed.candidates(serving, self._settings.place.region)
 
     def _region_relays(self) -> list[ids.InstanceId]:
         live = self._streams.roster.live(self._reactor.seconds())
--- a/src/carobhook/transport/entry_requests.py
+++ b/src/carobhook/transport/entry_requests.py
@@ -182,7 +182,7 @@
             self._told,
             lambda: self._flows.discard(flow),
             self._broke,
-            self._ports.known.usable,
+            self._ports.known.is_usable,
         )
         return flow
 
@@ -220,15 +220,15 @@
     # Requests that break servers.
 
     def _is_poison(self, inbound: client_connections.Inbound) -> bool:
-        if self._quarantine.empty:
+        if self._quarantine.is_empty:
             return False
-        return self._quarantine.refuses(_fingerprint(inbound), self._reactor.seconds())
+        return self._quarantine.is_quarantined(_fingerprint(inbound), self._reactor.seconds())
 
     def _broke(self, accepted: request_flow.Accepted) -> None:
         """Mark a request that a server broke under, here and at the other instances."""
         now = self._reactor.seconds()
         print_ = _fingerprint(accepted.inbound)
-        mark = self._quarantine.broke(print_, secrets.token_hex(8), now)
+        mark = self._quarantine.record_failure(print_, secrets.token_hex(8), now)
         logs.warning("request-marked", request=accepted.client_id, fingerprint=print_.hex())
         left_ms = round((mark.expires_at - now) * 1000)
         self._ports.broadcast(
@@ -237,7 +237,7 @@
 
     def _clear_marks(self, accepted: request_flow.Accepted) -> None:
         """Forget the marks of a request that was answered."""
-        if self._quarantine.empty:
+        if self._quarantine.is_empty:
             return
         print_ = _fingerprint(accepted.inbound)
         if self._quarantine.clear(print_):
--- a/src/carobhook/transport/member_streams.py
+++ b/src/carobhook/transport/member_streams.py
@@ -6,7 +6,7 @@
 import attrs
 
 from carobhook import logs
-from carobhook.coordination import membership, rosters
+from carobhook.coordination import membership, membership_sync
 from carobhook.protocol import greetings, peer_codec
 from carobhook.state import ids, members
 from carobhook.transport import peers
@@ -57,7 +57,9 @@
         self._seeds: tuple[str, ...] = ()
         self._seeded_at = 0.0
         self.roster = membership.Membership(identity.name, membership.DEAD_AFTER_S)
-        self._known = rosters.Roster(identity.name, describe().region, self.roster)
+        self._known = membership_sync.MembershipSync(
+            identity.name, describe().region, self.roster
+        )
         self._hub = peers.PeerHub(
             reactor,
             identity,
@@ -80,7 +82,7 @@
         """
         host, _, port = address.rpartition(":")
         self._hub.listen(host, int(port))
-        self.roster.heard(self._describe(), self._reactor.seconds())
+        self.roster.record_heartbeat(self._describe(), self._reactor.seconds())
         self.seed(seeds)
 
     def seed(self, addresses: typing.Iterable[str]) -> None:
@@ -98,7 +100,7 @@
         member = self.roster.get(name)
         if member is None:
             return False
-        self._known.used(name, self._reactor.seconds())
+        self._known.record_use(name, self._reactor.seconds())
         if self._hub.send(member.peers, message):
             return True
         self._hub.connect(member.peers)
@@ -112,11 +114,11 @@
         """Tell the others of this instance, and give up those that fell silent."""
         now = self._reactor.seconds()
         member = self._describe()
-        self.roster.heard(member, now)
+        self.roster.record_heartbeat(member, now)
         self._forget_dead()
         self._hub.keep(self._wanted(now))
         self._hub.broadcast(greetings.Heartbeat(member))
-        for name, message in self._known.reports(now).items():
+        for name, message in self._known.next_updates(now).items():
             receiver = self.roster.get(name)
             if receiver is not None:
                 self._hub.send(receiver.peers, message)
@@ -131,7 +133,7 @@
 
     def _wanted(self, now: float) -> set[str]:
         """Return the addresses to keep streams to: those of relays, and seeds while alone."""
-        wanted = set(self._known.wanted(now))
+        wanted = set(self._known.stream_addresses(now))
         others = [m for m in self.roster.live(now) if m.name != self._own]
         if not others or now - self._seeded_at < _SEEDING_S:
             wanted.update(self._seeds)
@@ -142,7 +144,7 @@
         live = {member.name for member in self.roster.live(now)}
         for name in self._live - live:
             logs.warning("member-lost", member=name, reason="silent")
-            self._known.lost(name, now)
+            self._known.remove(name, now)
             self._events.lost(name)
         if live != self._live:
             self._live = live
@@ -154,9 +156,9 @@
         A stream that carried no heartbeats lately was closed because nobody needed it.
         """
         now = self._reactor.seconds()
-        if name == self._own or not self._known.is_direct(name, now):
+        if name == self._own or not self._known.has_direct_heartbeat(name, now):
             return
-        self._known.lost(name, now)
+        self._known.remove(name, now)
         self._forget_dead()
 
     def _greet(self, address: str) -> None:
@@ -165,7 +167,7 @@
         live = self.roster.live(now)
         for member in live:
             if member.peers == address:
-                self._known.greeted(member.name)
+                self._known.reset_updates(member.name)
         self._hub.send(address, greetings.Heartbeat(self._describe()))
         others = tuple(member for member in live if member.name != self._own)
         self._hub.send(address, greetings.RosterTold(others, (), True))
@@ -174,7 +176,7 @@
         if isinstance(message, greetings.Heartbeat):
             self._heard(message.member)
         elif isinstance(message, greetings.StreamUnneeded):
-            self._known.unneeded(sender)
+            self._known.record_stream_closing(sender)
         elif isinstance(message, greetings.RosterTold):
             self._told(sender, message)
         else:
@@ -183,17 +185,17 @@
     def _heard(self, member: members.Member) -> None:
         now = self._reactor.seconds()
         before = self.roster.get(member.name)
-        self._known.heard(member, now)
+        self._known.record_heartbeat(member, now)
         if before is None:
             # It may know nobody yet, so a stream to it is opened, on which it is greeted.
-            self._known.used(member.name, now)
+            self._known.record_use(member.name, now)
         self._noticed(before, member)
 
     def _told(self, sender: ids.InstanceId, message: greetings.RosterTold) -> None:
         """Take in what a relay, or an instance that was just met, knows of others."""
         now = self._reactor.seconds()
         before = {member.name: self.roster.get(member.name) for member in message.members}
-        gone = self._known.told(sender, message, now)
+        gone = self._known.apply_update(sender, message, now)
         for name in gone:
             logs.warning("member-lost", member=name, reason="relay")
         for member in message.members:
--- a/src/carobhook/transport/store_follow.py
+++ b/src/carobhook/transport/store_follow.py
@@ -12,10 +12,10 @@
 from carobhook.coordination import (
     backoff,
     catalog,
-    feeding,
-    following,
+    object_watch,
     objects,
     steering,
+    store_feed,
 )
 from carobhook.platform import names, store
 from carobhook.platform import objects as platform_objects
@@ -23,9 +23,9 @@
 from carobhook.state import ids, orders
 
 _DELAYS = backoff.Backoff(first_s=0.2, cap_s=1.0)
-_OPTIONS = following.FollowOptions(wait_s=4.0, delays=_DELAYS, pause_s=0.2)
+_OPTIONS = object_watch.WatchOptions(wait_s=4.0, delays=_DELAYS, batch_delay_s=0.2)
 # Orders are few, and each call is paid for.
-_ORDERS_OPTIONS = following.FollowOptions(wait_s=15.0, delays=_DELAYS, pause_s=0.2)
+_ORDERS_OPTIONS = object_watch.WatchOptions(wait_s=15.0, delays=_DELAYS, batch_delay_s=0.2)
 _KINDS = {
     names.CONFIG_KIND: _OPTIONS,
     names.SERVERS_KIND: _OPTIONS,
@@ -89,9 +89,9 @@
         self._objects: dict[str, dict[str, feed_messages.FedObject]] = {}
         self._revisions: dict[str, int] = {}
         self._evacuated: set[ids.FailureDomain] = set()
-        self._followers: list[following.Follower] = []
-        self._choice = feeding.SourceChoice(port.own)
-        self._subscribers = feeding.Subscribers()
+        self._followers: list[object_watch.ObjectWatcher] = []
+        self._choice = store_feed.SourceSelector(port.own)
+        self._subscribers = store_feed.Subscribers()
         self._probing: defer.Deferred | None = None
         self._probed_at = 0.0
 
@@ -121,8 +121,8 @@
         step = self._choice.decide(
             self._port.candidates(), self._port.relays(), self.complete, now
         )
-        if step.ask is not None:
-            self._port.send(step.ask, feed_messages.FeedWanted())
+        if step.subscribe_to is not None:
+            self._port.send(step.subscribe_to, feed_messages.FeedWanted())
         if step.direct and not self._followers:
             self._go_direct()
         elif not step.direct and self._followers:
@@ -130,7 +130,7 @@
             self._stop_followers()
         if self._followers:
             self._probe(now)
-            if feeding.in_touch(self._platform.answered_at, now):
+            if store_feed.has_recent_answer(self._platform.answered_at, now):
                 told = feed_messages.FeedFresh(feed_messages.revisions_of(self._revisions))
                 for name in self._subscribers.due(now):
                     self._port.send(name, told)
@@ -152,7 +152,7 @@
                 self._revisions.get(kind, -1) >= revision
                 for kind, revision in message.revisions
             )
-            self._choice.told_fresh(sender, current, now)
+            self._choice.record_progress(sender, current, now)
         elif isinstance(message, feed_messages.FeedSnapshot):
             if message.revision >= self._revisions.get(message.kind, 0):
                 self._replace(message.kind, message.revision, message.items)
@@ -172,7 +172,7 @@
     def _go_direct(self) -> None:
         logs.event("store-followed-directly", revisions=dict(self._revisions))
         self._followers = [
-            following.Follower(
+            object_watch.ObjectWatcher(
                 self._platform,
                 self._reactor,
                 self._rng,
@@ -212,23 +212,23 @@
             return
         if self._known.store_lost_at is None:
             logs.warning("store-unavailable", kind="probe", error=reason.value)
-        self._known.store_lost(self._reactor.seconds())
+        self._known.record_outage(self._reactor.seconds())
 
-    def _hearer(self, kind: str) -> following.Handler:
+    def _hearer(self, kind: str) -> object_watch.Handler:
         return lambda message: self._hear(kind, message)
 
-    def _hear(self, kind: str, message: following.Message) -> None:
+    def _hear(self, kind: str, message: object_watch.Update) -> None:
         now = self._reactor.seconds()
-        if isinstance(message, following.Interrupted):
+        if isinstance(message, object_watch.WatchFailure):
             if self._known.store_lost_at is None:
                 logs.warning("store-unavailable", kind=kind, error=message.error)
-            self._known.store_lost(now)
+            self._known.record_outage(now)
             return
         if self._known.store_lost_at is not None:
             lost_s = now - self._known.store_lost_at
             logs.event("store-answers", kind=kind, unavailable_s=round(lost_s, 3))
-        self._known.store_answered(now)
-        if isinstance(message, following.Listed):
+        self._known.record_answer(now)
+        if isinstance(message, object_watch.Snapshot):
             items = tuple(_fed(item) for item in message.items[kind])
             self._replace(kind, message.revision, items)
             told: feed_messages.Message = feed_messages.FeedSnapshot(
@@ -296,7 +296,7 @@
             platform_objects.config,
             platform_objects.MalformedObjectError,
         )
-        if config is not None and self._known.offer_config(config):
+        if config is not None and self._known.replace_config_if_newer(config):
             logs.event(
                 "config-in-force",
                 version=f"{config.version:08x}",
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -29,7 +29,7 @@
 
 
 class TestNearest:
-    """Which instances clients are told of."""
+    """Which instances are nearest to clients of a failure domain."""
 
     @pytest.mark.parametrize(
         ("serving", "domain", "expected"),
@@ -42,7 +42,7 @@
             ([], "north-a", []),
         ],
     )
-    def test_own_domain_then_region_then_all(self, serving, domain, expected):
-        """Two of the own domain suffice; one alone would leave no second address."""
+    def test_domain_is_preferred_to_region_and_region_to_all(self, serving, domain, expected):
+        """Two instances of the domain suffice; one would leave clients no second address."""
         found = directory.nearest(serving, ids.Region("north"), ids.FailureDomain(domain))
         assert found == expected
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -570,7 +570,7 @@
         status, answer = await self.order(text)
         assert (status, answer["code"], answer["version"]) == (200, 2001, 1)
         known = self.daemons[0]._known
-        await self.until(lambda: not known.usable("i-0"))
+        await self.until(lambda: not known.is_usable("i-0"))
         await self.until(lambda: self.daemons[0]._orders.book.version == 1)
         found = await self.progress(1)
         while found["missing"]:
@@ -582,7 +582,7 @@
             assert (await self.request(X_Attempt_Id=str(number))).status == 200
         assert not self.backends["i-0"].ran
         assert (await self.order("undrain server i-0"))[1]["version"] == 2
-        await self.until(lambda: known.usable("i-0"))
+        await self.until(lambda: known.is_usable("i-0"))
         _, changes = await self.order("show changes")
         assert [row[4] for row in changes["rows"]] == ["undrain server i-0", text]
 
--- a/tests/test_explaining.py
+++ b/tests/test_explaining.py
@@ -123,7 +123,7 @@
     async def test_poison(self):
         """1030, with the marks before it."""
         self.behave(reset=True)
-        for number in range(poison.MARKS_OF_POISON):
+        for number in range(poison.MARK_LIMIT):
             await self.request("/u/x", method=b"POST", X_Attempt_Id=f"p{number}")
             await task.deferLater(reactor, 1.0, lambda: None)
         await self.request("/u/x", method=b"POST", X_Attempt_Id="a")
--- a/tests/test_joint_sums.py
+++ b/tests/test_joint_sums.py
@@ -33,7 +33,7 @@
         self.sent = collections.defaultdict(list)
         for desk in self.desks.values():
             known = desk._known
-            known.offer_config(
+            known.replace_config_if_newer(
                 routing.RoutingConfig(
                     2,
                     (),
@@ -63,10 +63,12 @@
             self.clock.advance(self.rng.uniform(0.0, 0.3))
             for other in names:
                 if (name, other) in self.cut:
-                    self.rosters[name].lost(other)
+                    self.rosters[name].remove(other)
                     self.desks[name].lost(other)
                 else:
-                    self.rosters[name].heard(desks.member(other), self.clock.seconds())
+                    self.rosters[name].record_heartbeat(
+                        desks.member(other), self.clock.seconds()
+                    )
             self.desks[name].members_changed()
             self.ask_some(3)
 
@@ -111,7 +113,7 @@
         for name, roster in self.rosters.items():
             for other in self.rosters:
                 if (other, name) not in self.cut:
-                    roster.heard(desks.member(other), now)
+                    roster.record_heartbeat(desks.member(other), now)
         for desk in self.desks.values():
             desk.tick()
 
--- /dev/null
+++ b/tests/test_membership_sync.py
@@ -0,0 +1,218 @@
+"""Tests of carobhook.coordination.membership_sync with simulated fleets."""
+
+import collections
+
+import pytest
+
+from carobhook.coordination import membership, membership_sync
+from carobhook.protocol import greetings, peer_codec
+from carobhook.state import ids, members
+
+BEAT_S = 0.4
+REGIONS = ("north", "south", "west")
+
+
+def member(name, region, weight=1.0, phase=members.Phase.READY, run="0"):
+    """Return a member."""
+    return members.Member(
+        ids.InstanceId(name),
+        ids.Incarnation(run * 16),
+        ids.Region(region),
+        ids.FailureDomain(f"{region}-a"),
+        f"{name}:1",
+        f"{name}:2",
+        phase,
+        ids.Version(1),
+        weight=weight,
+    )
+
+
+class Fleet:
+    """Membership of many instances, which keep streams to the addresses that they ask for.
+
+    Messages arrive at once. Instances that are down send and receive none, and messages between
+    the two sides of a partition are lost. Each instance starts with a few seeds.
+    """
+
+    def __init__(self, count, weights=(1.0,), seeds=3):
+        self.now = 0.0
+        self.members = {
+            f"i{n:03}": member(f"i{n:03}", REGIONS[n % 3], weights[n % len(weights)])
+            for n in range(count)
+        }
+        self.by_address = {m.peers: name for name, m in self.members.items()}
+        self.seeds = list(self.members)[:seeds]
+        self.down, self.partition = set(), set()
+        self.bytes_sent = collections.Counter()
+        self.messages = collections.Counter()
+        self.instances = {name: self.create(name) for name in self.members}
+
+    def create(self, name):
+        """Return the membership of an instance that has just started."""
+        own = self.members[name]
+        table = membership.Membership(own.name)
+        table.record_heartbeat(own, self.now)
+        return membership_sync.MembershipSync(own.name, own.region, table)
+
+    def is_reachable(self, sender, receiver):
+        """Return whether a message between two instances arrives."""
+        if {sender, receiver} & self.down:
+            return False
+        return (sender in self.partition) == (receiver in self.partition)
+
+    def send(self, sender, receiver, message):
+        """Deliver a message."""
+        size = len(peer_codec.CODEC.encode(message))
+        self.bytes_sent[sender] += size
+        self.messages[sender] += 1
+        if not self.is_reachable(sender, receiver):
+            return
+        instance = self.instances[receiver]
+        if isinstance(message, greetings.Heartbeat):
+            if instance.table.get(message.member.name) is None:
+                instance.record_use(message.member.name, self.now)
+                live = tuple(m for m in instance.table.live(self.now) if m.name != receiver)
+                known = greetings.RosterTold(live, (), True)
+                instance.record_heartbeat(message.member, self.now)
+                self.send(receiver, sender, known)
+            instance.record_heartbeat(message.member, self.now)
+        else:
+            instance.apply_update(sender, message, self.now)
+
+    def beat(self):
+        """Let every instance send its heartbeats and updates once."""
+        self.now += BEAT_S
+        for name, instance in self.instances.items():
+            if name in self.down:
+                continue
+            own = self.members[name]
+            instance.table.record_heartbeat(own, self.now)
+            live = {m.name for m in instance.table.live(self.now)}
+            for known in [n for n in instance.table._members if n not in live]:
+                instance.remove(known, self.now)
+            targets = {
+                self.by_address[address] for address in instance.stream_addresses(self.now)
+            }
+            if len(live) == 1 or self.now < 4.0:
+                targets |= set(self.seeds) - {name}
+            for other in sorted(targets):
+                self.send(name, other, greetings.Heartbeat(own))
+            for other, message in instance.next_updates(self.now).items():
+                self.send(name, other, message)
+
+    def run(self, seconds):
+        """Simulate some seconds."""
+        for _ in range(round(seconds / BEAT_S)):
+            self.beat()
+
+    def unknown_pairs(self):
+        """Return pairs of connected instances of which the first does not know the second."""
+        up = [name for name in self.members if name not in self.down]
+        return [
+            (name, other)
+            for name in up
+            for other in up
+            if (name in self.partition) == (other in self.partition)
+            and other not in {m.name for m in self.instances[name].table.live(self.now)}
+        ]
+
+    def dead_pairs(self):
+        """Return pairs of a running and a stopped instance that the first takes for live."""
+        return [
+            (name, m.name)
+            for name, instance in self.instances.items()
+            if name not in self.down
+            for m in instance.table.live(self.now)
+            if m.name in self.down
+        ]
+
+
+class TestFleet:
+    """Which instances know each other, and how soon."""
+
+    @pytest.mark.parametrize("count", [2, 9, 30, 85])
+    def test_all_instances_know_each_other_after_the_start(self, count):
+        """With two of three seeds down, every instance is known after seconds."""
+        fleet = Fleet(count)
+        fleet.down = set(fleet.seeds[: min(2, count - 2)])
+        fleet.run(3.2)
+        assert fleet.unknown_pairs() == []
+
+    @pytest.mark.parametrize("count", [9, 85])
+    def test_dead_relays_are_removed(self, count):
+        """Within three seconds every instance removes them and knows all others."""
+        fleet = Fleet(count)
+        fleet.run(4.0)
+        relays = [
+            m.name
+            for region in REGIONS
+            for m in membership.relays(fleet.members.values(), region)
+        ]
+        fleet.down = set(relays[::2])
+        fleet.run(2.8)
+        assert fleet.dead_pairs() == []
+        assert fleet.unknown_pairs() == []
+
+    def test_regions_reconnect_after_a_partition(self):
+        """Regions know each other again within seconds after a partition of a minute."""
+        fleet = Fleet(85)
+        fleet.run(4.0)
+        fleet.partition = {name for name, m in fleet.members.items() if m.region == "south"}
+        fleet.run(60.0)
+        assert fleet.unknown_pairs() == []
+        known = fleet.instances["i000"].table.live(fleet.now)
+        assert not [m for m in known if m.region == "south"]
+        fleet.partition = set()
+        fleet.run(3.2)
+        assert fleet.unknown_pairs() == []
+
+    def test_restart_reaches_all_instances(self):
+        """The new incarnation of a restarted instance is known within two seconds."""
+        fleet = Fleet(85)
+        fleet.run(4.0)
+        name = "i050"
+        fleet.members[name] = member(name, fleet.members[name].region, run="1")
+        fleet.instances[name] = fleet.create(name)
+        fleet.now += BEAT_S
+        fleet.run(2.0)
+        seen = {r.table.get(name).incarnation for r in fleet.instances.values()}
+        assert seen == {"1" * 16}
+
+    def test_no_instance_is_removed_without_a_failure(self):
+        """No instance counts as dead during two minutes without failures."""
+        fleet = Fleet(30)
+        fleet.run(4.0)
+        for _ in range(300):
+            fleet.beat()
+            assert fleet.unknown_pairs() == []
+
+
+class TestCost:
+    """How many bytes instances send, by the size of the fleet."""
+
+    def test_small_machines_send_few_bytes_in_any_fleet(self):
+        """An instance that is no relay sends to four others in a fleet of any size."""
+        fleet = Fleet(85, weights=(100.0, 5.0))
+        fleet.run(12.0)
+        fleet.bytes_sent.clear()
+        fleet.run(20.0)
+        small = [n for n, m in fleet.members.items() if m.weight == 5.0]
+        assert max(fleet.bytes_sent[name] for name in small) / 20.0 < 4_000
+        assert max(fleet.bytes_sent.values()) / 20.0 < 150_000
+        strong = [
+            m.weight
+            for region in REGIONS
+            for m in membership.relays(fleet.members.values(), region)
+        ]
+        assert set(strong) == {100.0}
+
+    def test_traffic_grows_slower_than_the_square_of_the_fleet(self):
+        """Four times as many instances send less than eight times as many bytes."""
+        totals = []
+        for count in (75, 300):
+            fleet = Fleet(count)
+            fleet.run(12.0)
+            fleet.bytes_sent.clear()
+            fleet.run(4.0)
+            totals.append(sum(fleet.bytes_sent.values()))
+        assert totals[1] < 8 * totals[0]
--- a/tests/test_slot_desk.py
+++ b/tests/test_slot_desk.py
@@ -38,13 +38,13 @@
             self.add(ids.InstanceId(name), slots)
         for roster in self.rosters.values():
             for name in names:
-                roster.heard(member(name), 0.0)
+                roster.record_heartbeat(member(name), 0.0)
 
     def add(self, name, slots):
         """Add an instance that knows one server."""
         known = catalog.Catalog()
         policy = routing.ServicePolicy(SERVICE, "/health", 100, 3.0, 5.0)
-        known.offer_config(routing.RoutingConfig(1, (), {SERVICE: policy}))
+        known.replace_config_if_newer(routing.RoutingConfig(1, (), {SERVICE: policy}))
         known.put(
             servers.ServerEntry(
                 ids.Server("i-1"), SERVICE, ZONE, "s:1", slots, servers.ServerState.READY, 0.0
@@ -94,7 +94,7 @@
         """Let every other instance notice that one is gone."""
         for name, roster in self.rosters.items():
             if name != gone:
-                roster.lost(gone)
+                roster.remove(gone)
         for name, desk in self.desks.items():
             if name != gone:
                 desk.lost(gone)
--- /dev/null
+++ b/tests/test_store_feed.py
@@ -0,0 +1,189 @@
+"""Tests of carobhook.coordination.store_feed."""
+
+import random
+
+from twisted.internet import task
+
+import store_access
+from carobhook.coordination import catalog, steering, store_feed
+from carobhook.platform import names
+from carobhook.state import ids
+from carobhook.transport import store_follow
+
+OWN, OTHER, THIRD = ids.InstanceId("own"), ids.InstanceId("other"), ids.InstanceId("third")
+RELAYS = [OWN, OTHER]
+
+
+class TestStart:
+    """Where an instance that has no objects yet gets them from."""
+
+    def test_relay_waits_only_for_heartbeats(self):
+        """If no instance is ready, a relay follows the store after the wait for heartbeats."""
+        selector = store_feed.SourceSelector(OWN)
+        assert not selector.decide([], RELAYS, False, 5.0).direct
+        assert selector.decide([], RELAYS, False, 5.35).direct
+
+    def test_other_instances_wait_for_a_relay(self):
+        """Only relays list the store when a whole fleet starts at once."""
+        selector = store_feed.SourceSelector(OWN)
+        assert not selector.decide([], [OTHER], False, 5.0).direct
+        assert not selector.decide([], [OTHER], False, 7.0).direct
+        decision = selector.decide([OTHER], [OTHER], False, 7.1)
+        assert (decision.direct, decision.subscribe_to) == (True, OTHER)
+
+    def test_feed_of_a_ready_instance_is_preferred(self):
+        """A restarted instance waits for the feed of a ready one, then follows the store."""
+        selector = store_feed.SourceSelector(OWN)
+        decision = selector.decide([OTHER], RELAYS, False, 5.0)
+        assert (decision.direct, decision.subscribe_to) == (False, OTHER)
+        assert not selector.decide([OTHER], RELAYS, False, 5.9).direct
+        assert selector.decide([OTHER], RELAYS, False, 6.0).direct
+
+    def test_wait_for_a_relay_ends(self):
+        """If no relay becomes ready, an instance follows the store itself."""
+        selector = store_feed.SourceSelector(OWN)
+        selector.decide([], [OTHER], False, 5.0)
+        assert selector.decide([], [OTHER], False, 7.5).direct
+
+
+class TestSourceSelector:
+    """From which source an instance gets the store's changes."""
+
+    def test_only_or_first_candidate_follows_the_store(self):
+        """An instance follows the store without candidates, or if it is the first of them."""
+        selector = store_feed.SourceSelector(OWN)
+        assert selector.decide([], RELAYS, True, 0.0).direct
+        assert selector.decide([OWN, OTHER], RELAYS, True, 0.0).direct
+
+    def test_store_is_followed_until_the_feed_is_fresh(self):
+        """A feed replaces the store only after a progress message."""
+        selector = store_feed.SourceSelector(OWN)
+        decision = selector.decide([OTHER], RELAYS, True, 0.0)
+        assert decision.direct
+        assert decision.subscribe_to == OTHER
+        selector.record_progress(OTHER, True, 0.1)
+        assert not selector.decide([OTHER], RELAYS, True, 0.2).direct
+
+    def test_stale_feed_is_dropped_within_two_seconds(self):
+        """Missing progress messages, or missing changes, lead back to the store."""
+        selector = store_feed.SourceSelector(OWN)
+        selector.record_progress(OTHER, True, 0.0)
+        assert not selector.decide([OTHER], RELAYS, True, 0.9).direct
+        assert selector.decide([OTHER], RELAYS, True, 1.5).direct
+        selector.record_progress(OTHER, True, 2.0)
+        selector.record_progress(OTHER, False, 2.1)
+        assert selector.decide([OTHER], RELAYS, True, 2.2).direct
+
+    def test_new_source_needs_its_own_progress_message(self):
+        """Progress messages of the former source do not make another feed fresh."""
+        selector = store_feed.SourceSelector(OWN)
+        selector.record_progress(OTHER, True, 0.0)
+        assert selector.decide([THIRD], RELAYS, True, 0.1).direct
+
+
+class TestSubscribers:
+    """Which instances get progress messages, and when."""
+
+    def test_progress_messages_are_due_at_their_interval(self):
+        """Every subscriber gets one progress message in each interval."""
+        subscribers = store_feed.Subscribers()
+        subscribers.add(OTHER)
+        assert subscribers.due(10.0) == [OTHER]
+        assert subscribers.due(10.1) == []
+        assert subscribers.due(10.4) == [OTHER]
+        subscribers.remove(OTHER)
+        assert subscribers.names == []
+
+
+class Access(store_access.StoreAccess):
+    """The store as `platform.store` offers it, with a count of its calls."""
+
+    def __init__(self, engine, clock):
+        super().__init__(engine, clock)
+        self.calls = 0
+
+    @property
+    def answered_at(self):
+        """Return the present time, as every call is answered."""
+        return self.clock.seconds()
+
+    async def list(self, kind):
+        """Count the call and list."""
+        self.calls += 1
+        return await super().list(kind)
+
+    async def watch(self, kinds, since, wait_s):
+        """Count the call and watch."""
+        self.calls += 1
+        return await super().watch(kinds, since, wait_s)
+
+
+class TestFeed:
+    """One instance follows the store, and another subscribes to its feed."""
+
+    def setup_method(self):
+        """Start both, until the second has all objects from the first."""
+        self.clock = task.Clock()
+        engine = store_access.made(self.clock).engine
+        self.access = {name: Access(engine, self.clock) for name in (OWN, OTHER)}
+        self.engine = engine
+        self.known = {name: catalog.Catalog() for name in (OWN, OTHER)}
+        self.follow_by_name = {name: self.follow(name) for name in (OWN, OTHER)}
+        for one in self.follow_by_name.values():
+            one.start()
+        self.run(3.0)
+
+    def follow(self, name):
+        """Return the `StoreFollow` of an instance; OTHER is the only candidate and relay."""
+
+        def send(to, message):
+            self.follow_by_name[to].received(name, message)
+            return True
+
+        return store_follow.StoreFollow(
+            self.clock,
+            self.access[name],
+            self.known[name],
+            steering.Steering({}),
+            random.Random(1),
+            lambda: None,
+            store_follow.FeedPort(name, lambda: [OTHER], lambda: [OTHER], send),
+        )
+
+    def run(self, seconds):
+        """Simulate some seconds."""
+        for _ in range(round(seconds * 10)):
+            self.clock.advance(0.1)
+            for one in self.follow_by_name.values():
+                one.tick()
+
+    def test_subscriber_makes_no_calls_when_objects_change(self):
+        """The feed stays complete when objects of several kinds change in turn."""
+        assert self.follow_by_name[OTHER].direct and not self.follow_by_name[OWN].direct
+        before = self.access[OWN].calls
+        for number in range(12):
+            spec = {"Address": "a:1", "Info": {"Service": "svc", "Zone": "z", "Slots": 1}}
+            value = {"Metadata": {"Name": f"s{number}"}, "Spec": spec}
+            value["Status"] = {"State": "ready", "ColdRemaining": "0ms"}
+            self.engine.create(names.SERVERS_KIND, f"s{number}", value, self.clock.seconds())
+            self.run(2.5)
+            if number % 3 == 0:
+                self.engine.create(
+                    names.EVACUATIONS_KIND, f"z{number}", {}, self.clock.seconds()
+                )
+            self.run(2.5)
+            assert not self.follow_by_name[OWN].direct
+        assert self.access[OWN].calls == before
+        for known in self.known.values():
+            assert len(known.servers(self.clock.seconds())) == 12
+            assert known.evacuated == {"z0", "z3", "z6", "z9"}
+
+    def test_subscriber_follows_the_store_when_the_relay_loses_it(self):
+        """Without progress messages it follows the store within three seconds."""
+        self.access[OTHER].down = True
+        last_answer_at = self.clock.seconds()
+        type(self.access[OTHER]).answered_at = property(
+            lambda access: last_answer_at if access.down else access.clock.seconds()
+        )
+        self.run(3.0)
+        assert self.follow_by_name[OWN].direct
