--- /dev/null
+++ b/src/carobhook/coordination/store_feed.py
@@ -0,0 +1,167 @@
+"""Choice of the instance that follows the store for a region and feeds its changes to others.
+
+Load pattern: every change of an object costs a call for each instance that watches it, so one
+instance of a region watches the store and sends the changes to the others. They rely on its
+feed only while it sends progress messages, several times a second: these say that the store
+answers it, and up to which revisions it has sent every change. Without progress messages each
+instance follows the store itself.
+"""
+
+import math
+from collections.abc import Collection, Iterable, Sequence
+
+import attrs
+
+from carobhook.coordination import membership
+from carobhook.state import ids, members
+
+# Progress messages are sent this often, and a feed counts as fresh this long after each.
+PROGRESS_INTERVAL_S = 0.3
+_PROGRESS_LIFETIME_S = 1.0
+# Least time between two subscriptions to a feed that is not fresh.
+_SUBSCRIBE_INTERVAL_S = 0.6
+# Progress messages are sent only while the last answer of the store is not older than this.
+_ANSWER_LIFETIME_S = 1.1
+# A starting instance waits before it lists the store, so that a fleet that starts at once does
+# not list it from every machine. A relay waits for heartbeats of others, any instance for the
+# feed of one that is ready, and an instance that is no relay for a relay to become ready.
+_HEARTBEAT_WAIT_S = 0.3
+_FIRST_FEED_WAIT_S = 1.0
+_RELAY_WAIT_S = 2.5
+
+
+def has_recent_answer(answered_at: float, now: float) -> bool:
+    """Return whether the store's last answer is recent enough to send a progress message.
+
+    Args:
+        answered_at: Monotonic time in seconds of its last answer.
+        now: Monotonic time in seconds.
+    """
+    return now - answered_at <= _ANSWER_LIFETIME_S
+
+
+def candidates(serving: Iterable[members.Member], region: ids.Region) -> list[ids.InstanceId]:
+    """Return the instances that can follow the store for a region, in order of preference.
+
+    Args:
+        serving: Instances that accept new work.
+        region: The region.
+    """
+    eligible = [m for m in serving if m.region == region and m.reaches_store]
+    names = [m.name for m in membership.relays(eligible, region)]
+    ordered = membership.rendezvous_order(f"feed/{region}", names)
+    return [ids.InstanceId(name) for name in ordered]
+
+
+@attrs.frozen
+class SourceDecision:
+    """Where an instance gets the store's changes from at present.
+
+    Attributes:
+        direct: Whether it follows the store itself.
+        source: Instance whose feed replaces the store, or None.
+        subscribe_to: Instance to whose feed it now subscribes, or None.
+    """
+
+    direct: bool
+    source: ids.InstanceId | None
+    subscribe_to: ids.InstanceId | None
+
+
+@attrs.define
+class SourceSelector:
+    """Selects the source from which one instance gets the store's changes.
+
+    Attributes:
+        own: Name of this instance.
+    """
+
+    own: ids.InstanceId
+    _progress_at: dict[ids.InstanceId, float] = attrs.field(factory=dict, init=False)
+    _subscribed_at: float = attrs.field(default=-math.inf, init=False)
+    _started_at: float | None = attrs.field(default=None, init=False)
+
+    def record_progress(self, sender: ids.InstanceId, is_current: bool, now: float) -> None:
+        """Record a progress message.
+
+        Args:
+            sender: Instance that sent it.
+            is_current: Whether this instance has every change that the sender has sent; if
+                not, the feed counts as stale until a later progress message.
+            now: Monotonic time in seconds.
+        """
+        if is_current:
+            self._progress_at[sender] = now
+        else:
+            self._progress_at.pop(sender, None)
+
+    def decide(
+        self,
+        candidates: Sequence[ids.InstanceId],
+        relays: Collection[ids.InstanceId],
+        is_complete: bool,
+        now: float,
+    ) -> SourceDecision:
+        """Return the source to use now; a subscription in it counts as sent.
+
+        Args:
+            candidates: Instances that can follow the store, in order of preference.
+            relays: Relays of the region, ready or not.
+            is_complete: Whether this instance has had all objects once.
+            now: Monotonic time in seconds.
+        """
+        if self._started_at is None:
+            self._started_at = now
+        source = candidates[0] if candidates else None
+        if source == self.own:
+            return SourceDecision(True, None, None)
+        waited_s = now - self._started_at
+        if source is None:
+            wait_s = _HEARTBEAT_WAIT_S if self.own in relays else _RELAY_WAIT_S
+            return SourceDecision(is_complete or waited_s >= wait_s, None, None)
+        age_s = now - self._progress_at.get(source, -math.inf)
+        is_fresh = is_complete and age_s <= _PROGRESS_LIFETIME_S
+        subscribe_to = None
+        if not is_fresh and now - self._subscribed_at >= _SUBSCRIBE_INTERVAL_S:
+            subscribe_to = source
+            self._subscribed_at = now
+        is_starting = not is_complete and waited_s < _FIRST_FEED_WAIT_S
+        return SourceDecision(
+            not is_fresh and not is_starting, source if is_fresh else None, subscribe_to
+        )
+
+
+@attrs.define
+class Subscribers:
+    """Instances that are subscribed to the feed of this one."""
+
+    _names: set[ids.InstanceId] = attrs.field(factory=set, init=False)
+    _progress_sent_at: float = attrs.field(default=-math.inf, init=False)
+
+    @property
+    def names(self) -> list[ids.InstanceId]:
+        """Return the subscribers, sorted by name."""
+        return sorted(self._names)
+
+    def add(self, name: ids.InstanceId) -> None:
+        """Add a subscriber."""
+        self._names.add(name)
+
+    def due(self, now: float) -> list[ids.InstanceId]:
+        """Return the subscribers if a progress message to them is due, which counts as sent.
+
+        Args:
+            now: Monotonic time in seconds.
+        """
+        if now - self._progress_sent_at < PROGRESS_INTERVAL_S:
+            return []
+        self._progress_sent_at = now
+        return self.names
+
+    def remove(self, name: ids.InstanceId) -> None:
+        """Remove a subscriber, if it is one."""
+        self._names.discard(name)
+
+    def clear(self) -> None:
+        """Remove all subscribers."""
+        self._names.clear()
