--- a/src/carobhook/coordination/__init__.py
+++ b/src/carobhook/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Coordination layer: deciding functions and the tasks that run them."""
+"""Coordination layer: decision functions, and the tasks that run them."""
--- a/src/carobhook/coordination/dispatcher.py
+++ b/src/carobhook/coordination/dispatcher.py
@@ -1,8 +1,8 @@
-"""Gives the requests of one service in one region to servers with free slots.
+"""Assigns the requests for one service in one region to servers with free slots.
 
-Load pattern: requests come in faster than servers work, from several instances at once. One
-dispatcher counts every slot, so a request waits here, where it can still be refused or go to
-the server that is free first, and not in a server's own queue.
+Load pattern: several instances at once receive requests faster than the servers process them.
+One dispatcher counts every slot. Requests therefore queue here, where they can still be refused
+or sent to the server that is free first, and not inside a server.
 """
 
 import math
@@ -15,27 +15,32 @@
 
 Decision = asks.SlotGrant | asks.SlotRefusal
 
-# Share of the time between an answer's work and its target that may be spent waiting. A shorter
-# queue serves as many in time, and leaves room for errors of the expectation.
-_WAIT_SHARE = 0.45
-# Weight of a slot's time against a caller's wait, with an empty and with a long queue.
+# A new request may be expected to queue for this share of the time that its target leaves after
+# its own work. With a longer queue, requests would miss their targets whenever the estimated
+# work times are too low; a shorter queue serves as many requests in time.
+_MAX_QUEUE_SHARE = 0.45
+# Cost of a second of slot time, compared with a second that the caller waits. Slot time matters
+# more when others queue for it: the second value is added in proportion to the queue's length,
+# in full when the queue is as long as the number of slots.
 _SLOT_TIME_WEIGHT = 0.3
-_CROWDED_SLOT_TIME_WEIGHT = 0.5
-_SHORTEST_RETRY_AFTER_S = 0.2
-_LONGEST_RETRY_AFTER_S = 5.0
-# Work time of a route of which nothing is known yet.
-_UNKNOWN_WORK_S = 0.2
+_QUEUE_SLOT_TIME_WEIGHT = 0.5
+_MIN_RETRY_AFTER_S = 0.2
+_MAX_RETRY_AFTER_S = 5.0
+# Work time assumed for a route without any samples.
+_DEFAULT_WORK_S = 0.2
+# Cost of a server of which every answer is a failure, as a multiple of the work time.
 _FAILURE_PENALTY = 4.0
-# Seconds that a caller may wait longer for a server in its own failure domain, as answers that
-# cross domains are paid for.
-_OTHER_DOMAIN_S = 0.015
-# Share of the slots that requests past their target may wait for.
-_LATE_SHARE = 0.25
+# Traffic between failure domains is billed, so a caller waits up to this much longer for a
+# server in its own failure domain.
+_CROSS_DOMAIN_COST_S = 0.015
+# A request that is expected to miss its target is queued only while the queue has fewer such
+# requests than this share of the slots.
+_MAX_LATE_SHARE = 0.25
 
 
 @attrs.frozen
-class _Option:
-    """A server that could run a request."""
+class _Candidate:
+    """A server that could run a request, with its expected times in seconds."""
 
     server: server_pool.PooledServer
     wait_s: float
@@ -44,300 +49,334 @@
 
 
 @attrs.define(eq=False)
-class _Waiting:
-    """An ask that waits for a slot."""
+class _QueuedRequest:
+    """A slot request in the queue.
 
-    ask: asks.Ask
-    since: float
-    guess_s: float
+    Attributes:
+        request: The slot request.
+        queued_at: Monotonic time in seconds of its arrival.
+        expected_work_s: Seconds of work expected at the best server.
+        late: Whether it is expected to miss its target.
+    """
+
+    request: asks.Ask
+    queued_at: float
+    expected_work_s: float
     late: bool
 
     @property
-    def order(self) -> tuple[bool, int, float]:
-        """Return the place in the queue: what can be in time first, then by rank and target."""
-        return (self.late, self.ask.priority, self.ask.target_at)
+    def sort_key(self) -> tuple[bool, int, float]:
+        """Return the queue order: requests still in time first, then by priority and target."""
+        return (self.late, self.request.priority, self.request.target_at)
 
 
 @attrs.define(eq=False)
 class Dispatcher:
-    """Queue and servers of one service in one region.
+    """Queue and servers of one service in one region; decides which request gets which server.
 
     Args:
-        allowance: Bounds repeats.
+        allowance: Limits retries.
 
     Attributes:
-        paused: Whether asks wait whatever is free, because not all slots in use are known yet.
+        paused: Whether all requests are queued, even if slots appear free, because not every
+            slot in use has been reported yet.
     """
 
     allowance: retry_allowance.RetryAllowance
     paused: bool = attrs.field(default=False, init=False)
     pool: server_pool.ServerPool = attrs.field(factory=server_pool.ServerPool, init=False)
     _times: work_times.WorkTimes = attrs.field(factory=work_times.WorkTimes, init=False)
-    _waiting: list[_Waiting] = attrs.field(factory=list, init=False)
+    _queue: list[_QueuedRequest] = attrs.field(factory=list, init=False)
     _demand_s: float = attrs.field(default=0.0, init=False)
-    _claimed_s: dict[ids.Server, float] = attrs.field(factory=dict, init=False)
+    _reserved_s: dict[ids.Server, float] = attrs.field(factory=dict, init=False)
 
     @property
     def waiting(self) -> int:
-        """Return how many asks wait."""
-        return len(self._waiting)
+        """Return the number of queued requests."""
+        return len(self._queue)
 
     def take_demand(self) -> float:
-        """Return the slot-seconds asked for since the last call."""
+        """Return the slot-seconds requested since the last call, and reset the count."""
         demand, self._demand_s = self._demand_s, 0.0
         return demand
 
-    def ask(self, ask: asks.Ask, now: float) -> list[Decision]:
-        """Take in an ask; return what is decided now.
+    def ask(self, request: asks.Ask, now: float) -> list[Decision]:
+        """Refuse or queue a request; return all decisions that can be made now.
 
         Args:
-            ask: The ask.
+            request: The slot request.
             now: Monotonic time in seconds.
         """
-        guess_s = self._guess(ask)
-        if ask.repeat:
+        expected_work_s = self._estimate_work_s(request)
+        if request.repeat:
             if not self.allowance.take(now):
-                return [self._refusal(ask, codes.Code.RETRIES_USED_UP, now)]
+                return [self._refusal(request, codes.Code.RETRIES_USED_UP, now)]
         else:
             self.allowance.count_request(now)
-            self._demand_s += guess_s
-        waiting = _Waiting(ask, now, guess_s, late=False)
-        waiting.late = self._misses_target(waiting, now)
-        refusal = None if self.paused else self._refuse_on_arrival(waiting, now)
+            self._demand_s += expected_work_s
+        queued = _QueuedRequest(request, now, expected_work_s, late=False)
+        queued.late = self._will_miss_target(queued, now)
+        refusal = None if self.paused else self._refuse_on_arrival(queued, now)
         if refusal is not None:
             return [refusal]
-        self._waiting.append(waiting)
+        self._queue.append(queued)
         return self.decide(now)
 
-    def withdraw(self, ask_id: ids.RequestId) -> bool:
-        """Forget an ask that waits; return False if it does not wait."""
-        for waiting in self._waiting:
-            if waiting.ask.id == ask_id:
-                self._waiting.remove(waiting)
+    def withdraw(self, request_id: ids.RequestId) -> bool:
+        """Remove a request from the queue; return False if it is not queued."""
+        for queued in self._queue:
+            if queued.request.id == request_id:
+                self._queue.remove(queued)
                 return True
         return False
 
     def take_waiting(self) -> list[asks.Ask]:
-        """Give up all asks that wait."""
-        given_up = [waiting.ask for waiting in self._waiting]
-        self._waiting.clear()
-        return given_up
+        """Remove all requests from the queue and return them."""
+        removed = [queued.request for queued in self._queue]
+        self._queue.clear()
+        return removed
 
-    def hold(self, ask: asks.Ask, server: ids.Server, now: float) -> None:
-        """Count a request that another dispatcher granted before this one took over."""
+    def hold(self, request: asks.Ask, server: ids.Server, now: float) -> None:
+        """Count a request that the shard's previous dispatcher granted a slot."""
         pooled = self.pool.get(server)
-        if pooled is not None and ask.id not in pooled.running:
-            pooled.start(ask, self._guess(ask) * pooled.slowness(now), now)
+        if pooled is not None and request.id not in pooled.running:
+            pooled.start(request, self._estimate_work_s(request) * pooled.slowness(now), now)
 
     def ended(
-        self, ask_id: ids.RequestId, server: ids.Server, end: asks.WorkEnd, now: float
+        self, request_id: ids.RequestId, server: ids.Server, outcome: asks.WorkEnd, now: float
     ) -> list[Decision]:
-        """Take back a slot; return what is decided now.
+        """Free the slot of a finished request; return all decisions that can be made now.
 
         Args:
-            ask_id: Id of the ask that was granted.
-            server: The server.
-            end: How its work ended.
+            request_id: Id of the request that was granted the slot.
+            server: Server of the slot.
+            outcome: How the attempt ended.
             now: Monotonic time in seconds.
         """
         pooled = self.pool.get(server)
-        run = pooled.running.pop(ask_id, None) if pooled is not None else None
+        run = pooled.running.pop(request_id, None) if pooled is not None else None
         if pooled is not None and run is not None:
-            foreseen = self._times.seen(run.route, run.depth)
-            if end is asks.WorkEnd.ANSWERED:
+            has_samples = self._times.seen(run.route, run.depth)
+            if outcome is asks.WorkEnd.ANSWERED:
                 elapsed_s = now - run.started_at
                 self._times.observe(run.route, run.depth, elapsed_s / pooled.slowness(now))
-            pooled.ended(run, end, now, foreseen)
+            pooled.ended(run, outcome, now, has_samples)
         return self.decide(now)
 
     def decide(self, now: float) -> list[Decision]:
-        """Return what happens to waiting asks now.
+        """Return grants and refusals for the queued requests that can be decided now.
 
         Args:
             now: Monotonic time in seconds.
         """
         decisions: list[Decision] = []
-        if not self._waiting or self.paused:
+        if not self._queue or self.paused:
             return decisions
-        for waiting in self._waiting:
-            if not waiting.late and self._misses_target(waiting, now):
-                waiting.late = True
-        self._waiting.sort(key=lambda waiting: waiting.order)
-        self._claimed_s.clear()
-        kept: list[_Waiting] = []
+        for queued in self._queue:
+            if not queued.late and self._will_miss_target(queued, now):
+                queued.late = True
+        self._queue.sort(key=lambda queued: queued.sort_key)
+        self._reserved_s.clear()
+        remaining: list[_QueuedRequest] = []
         free = [
             server
             for server in self.pool.servers
             if server.free(now) > 0 and server.admits(now)
         ]
-        for waiting in self._waiting:
-            option = self._best(waiting, free, now) if free else None
-            if option is None:
-                crowded = bool(kept) and not kept[0].late
-                if waiting.late and self._gives_way(waiting, crowded, now):
+        for queued in self._queue:
+            candidate = self._choose_server(queued, free, now) if free else None
+            if candidate is None:
+                others_in_time = bool(remaining) and not remaining[0].late
+                if queued.late and self._should_drop(queued, others_in_time, now):
                     decisions.append(
-                        self._refusal(waiting.ask, codes.Code.DEADLINE_UNMEETABLE, now)
+                        self._refusal(queued.request, codes.Code.DEADLINE_UNMEETABLE, now)
                     )
                 else:
-                    kept.append(waiting)
+                    remaining.append(queued)
                 continue
-            decisions.append(self._grant(waiting, option, now))
-            if option.server.free(now) <= 0 or not option.server.admits(now):
-                free.remove(option.server)
-        self._waiting = kept
+            decisions.append(self._grant(queued, candidate, now))
+            if candidate.server.free(now) <= 0 or not candidate.server.admits(now):
+                free.remove(candidate.server)
+        self._queue = remaining
         return decisions
 
-    def _guess(self, ask: asks.Ask) -> float:
-        """Return the work time to expect at the server that knows the object best."""
-        key = work_times.object_key(ask.route, ask.object_key)
+    def _estimate_work_s(self, request: asks.Ask) -> float:
+        """Return the expected work time at the server that used the object most recently."""
+        key = work_times.object_key(request.route, request.object_key)
         depth: int | None = None
         if key is not None:
             depths = [server.objects.depth(key) for server in self.pool.holders(key)]
             known = [found for found in depths if found is not None]
             depth = min(known) if known else None
-        return self._times.expected(ask.route, depth, _UNKNOWN_WORK_S)
+        return self._times.expected(request.route, depth, _DEFAULT_WORK_S)
 
-    def _refuse_on_arrival(self, waiting: _Waiting, now: float) -> asks.SlotRefusal | None:
-        """Refuse what the queue ahead lets have no chance."""
-        ask = waiting.ask
-        usable = [s for s in self.pool.servers if _allowed(s, ask)]
+    def _refuse_on_arrival(self, queued: _QueuedRequest, now: float) -> asks.SlotRefusal | None:
+        """Return a refusal if the expected wait is too long for the request, else None."""
+        request = queued.request
+        usable = [s for s in self.pool.servers if _is_eligible(s, request)]
         if not usable:
-            return self._refusal(ask, codes.Code.NO_BACKEND, now)
+            return self._refusal(request, codes.Code.NO_BACKEND, now)
         if any(server.free(now) and server.admits(now) for server in usable):
             return None
-        ahead = [other for other in self._waiting if other.order <= waiting.order]
-        wait_s = self._wait_for(ahead, usable, now)
-        if waiting.late:
-            late = sum(1 for other in self._waiting if other.late)
-            room = late < max(1, _LATE_SHARE * self.pool.slots)
-            fits = room and now + wait_s + waiting.guess_s <= ask.deadline_at
+        ahead = [other for other in self._queue if other.sort_key <= queued.sort_key]
+        wait_s = self._expected_wait_s(ahead, usable, now)
+        if queued.late:
+            late_count = sum(1 for other in self._queue if other.late)
+            below_limit = late_count < max(1, _MAX_LATE_SHARE * self.pool.slots)
+            accepted = (
+                below_limit and now + wait_s + queued.expected_work_s <= request.deadline_at
+            )
         else:
-            fits = wait_s <= _WAIT_SHARE * (ask.target_at - now - self._high(waiting))
-        return None if fits else self._refusal(ask, codes.Code.DEADLINE_UNMEETABLE, now)
+            accepted = wait_s <= _MAX_QUEUE_SHARE * (
+                request.target_at - now - self._high_work_s(queued)
+            )
+        return None if accepted else self._refusal(request, codes.Code.DEADLINE_UNMEETABLE, now)
 
-    def _wait_for(
+    def _expected_wait_s(
         self,
-        ahead: Iterable[_Waiting],
+        ahead: Iterable[_QueuedRequest],
         usable: list[server_pool.PooledServer],
         now: float,
     ) -> float:
-        """Return the seconds until a slot is free behind the asks ahead."""
+        """Return the expected seconds until a slot is free after the requests ahead."""
         slots = sum(max(0, server.slots - server.lent) for server in usable)
         if slots <= 0:
             return math.inf
         first_s = min(server.next_free_s(now) for server in usable)
-        return first_s + sum(other.guess_s for other in ahead) / slots
-
-    def _high(self, waiting: _Waiting) -> float:
-        """Return a work time in seconds that few requests like this exceed."""
-        return waiting.guess_s * self._times.spread(waiting.ask.route)
-
-    def _misses_target(self, waiting: _Waiting, now: float) -> bool:
-        return now + self._high(waiting) > waiting.ask.target_at
-
-    def _gives_way(self, waiting: _Waiting, crowded: bool, now: float) -> bool:
-        """Tell whether a request past its target leaves the queue."""
-        return crowded or now + waiting.guess_s > waiting.ask.deadline_at
-
-    def _best(
-        self, waiting: _Waiting, free: list[server_pool.PooledServer], now: float
-    ) -> _Option | None:
-        """Return the server to send an ask to now, or None to let it wait."""
-        ask = waiting.ask
-        allowed = [server for server in free if _allowed(server, ask)]
-        if not allowed:
+        return first_s + sum(other.expected_work_s for other in ahead) / slots
+
+    def _high_work_s(self, queued: _QueuedRequest) -> float:
+        """Return a work time in seconds that few requests of this kind exceed."""
+        return queued.expected_work_s * self._times.spread(queued.request.route)
+
+    def _will_miss_target(self, queued: _QueuedRequest, now: float) -> bool:
+        """Return whether the request may miss its target even if it starts now."""
+        return now + self._high_work_s(queued) > queued.request.target_at
+
+    def _should_drop(self, queued: _QueuedRequest, others_in_time: bool, now: float) -> bool:
+        """Return whether a late request must leave the queue.
+
+        It leaves when requests that can still meet their targets wait for a slot too, or when
+        it would miss its deadline even if it started now.
+        """
+        return others_in_time or now + queued.expected_work_s > queued.request.deadline_at
+
+    def _choose_server(
+        self, queued: _QueuedRequest, free: list[server_pool.PooledServer], now: float
+    ) -> _Candidate | None:
+        """Return the server to run a request now, or None to keep it queued.
+
+        Args:
+            queued: The request.
+            free: Servers with a free slot.
+            now: Monotonic time in seconds.
+        """
+        request = queued.request
+        eligible = [server for server in free if _is_eligible(server, request)]
+        if not eligible:
             return None
-        key = work_times.object_key(ask.route, ask.object_key)
+        key = work_times.object_key(request.route, request.object_key)
         holders = self.pool.holders(key) if key is not None else []
-        holders = [server for server in holders if _allowed(server, ask)]
-        options = [self._option(ask, server, key, now) for server in holders]
-        strangers = [server for server in allowed if server not in holders]
-        if strangers:
-            emptiest = min(
-                strangers,
+        holders = [server for server in holders if _is_eligible(server, request)]
+        candidates = [self._evaluate(request, server, key, now) for server in holders]
+        others = [server for server in eligible if server not in holders]
+        if others:
+            best_other = min(
+                others,
                 key=lambda s: (
-                    self._trouble(s, now),
-                    s.view.entry.zone != ask.domain,
+                    self._health_penalty(s, now),
+                    s.view.entry.zone != request.domain,
                     len(s.running) / max(1, s.slots),
                     len(s.objects),
                     s.name,
                 ),
             )
-            options.append(self._option(ask, emptiest, key, now))
-        if not options:
+            candidates.append(self._evaluate(request, best_other, key, now))
+        if not candidates:
             return None
-        best = min(options, key=lambda option: option.cost)
+        best = min(candidates, key=lambda candidate: candidate.cost)
         if best.wait_s <= 0:
             return best
-        # Waiting is an option only while the answer still comes in time, and working for an
-        # answer that comes late only while nobody else needs the slot.
-        spread = self._times.spread(ask.route)
-        if now + best.wait_s + best.work_s * spread <= ask.target_at:
-            self._claim(best)
+        # The best server is busy. Wait for it if the answer will still be in time; otherwise
+        # use a free server. A free server that would answer late is used only while no other
+        # queued request needs the slot.
+        high_ratio = self._times.spread(request.route)
+        if now + best.wait_s + best.work_s * high_ratio <= request.target_at:
+            self._reserve(best)
             return None
-        ready = [option for option in options if option.wait_s <= 0]
-        if len(free) <= len(self._waiting):
-            ready = [o for o in ready if now + o.work_s * spread <= ask.target_at]
+        ready = [candidate for candidate in candidates if candidate.wait_s <= 0]
+        if len(free) <= len(self._queue):
+            ready = [c for c in ready if now + c.work_s * high_ratio <= request.target_at]
         if not ready:
-            self._claim(best)
+            self._reserve(best)
             return None
-        return min(ready, key=lambda option: option.cost)
+        return min(ready, key=lambda candidate: candidate.cost)
 
-    def _claim(self, option: _Option) -> None:
-        """Take note that a waiting request counts on a server."""
-        claimed_s = self._claimed_s.get(option.server.name, 0.0)
-        self._claimed_s[option.server.name] = claimed_s + option.work_s
+    def _reserve(self, candidate: _Candidate) -> None:
+        """Add the expected work of a request that waits for this server."""
+        reserved_s = self._reserved_s.get(candidate.server.name, 0.0)
+        self._reserved_s[candidate.server.name] = reserved_s + candidate.work_s
 
-    def _option(
+    def _evaluate(
         self,
-        ask: asks.Ask,
+        request: asks.Ask,
         server: server_pool.PooledServer,
         key: str | None,
         now: float,
-    ) -> _Option:
+    ) -> _Candidate:
+        """Return the expected times and the cost of running a request on a server."""
         depth = server.objects.depth(key) if key is not None else None
-        work_s = self._times.expected(ask.route, depth, _UNKNOWN_WORK_S)
+        work_s = self._times.expected(request.route, depth, _DEFAULT_WORK_S)
         work_s *= server.slowness(now)
         is_free = server.free(now) > 0 and server.admits(now)
-        claimed_s = self._claimed_s.get(server.name, 0.0) / max(1, server.slots)
-        wait_s = 0.0 if is_free else max(0.005, server.next_free_s(now)) + claimed_s
-        crowd = min(1.0, len(self._waiting) / max(1, self.pool.slots))
-        weight = _SLOT_TIME_WEIGHT + crowd * _CROWDED_SLOT_TIME_WEIGHT
+        reserved_s = self._reserved_s.get(server.name, 0.0) / max(1, server.slots)
+        wait_s = 0.0 if is_free else max(0.005, server.next_free_s(now)) + reserved_s
+        queue_ratio = min(1.0, len(self._queue) / max(1, self.pool.slots))
+        weight = _SLOT_TIME_WEIGHT + queue_ratio * _QUEUE_SLOT_TIME_WEIGHT
         penalty = server.failure_share * _FAILURE_PENALTY * work_s
-        if ask.domain is not None and server.view.entry.zone != ask.domain:
-            penalty += _OTHER_DOMAIN_S
+        if request.domain is not None and server.view.entry.zone != request.domain:
+            penalty += _CROSS_DOMAIN_COST_S
         cost = wait_s + work_s * (1 + weight) + penalty
-        return _Option(server, wait_s, work_s, cost)
+        return _Candidate(server, wait_s, work_s, cost)
 
-    def _trouble(self, server: server_pool.PooledServer, now: float) -> float:
-        """Return how much worse than a healthy one a server is, in seconds, roughly."""
+    def _health_penalty(self, server: server_pool.PooledServer, now: float) -> float:
+        """Return about how many seconds worse than a healthy server this one is."""
         return (server.slowness(now) - 1.0) + server.failure_share * _FAILURE_PENALTY
 
-    def _grant(self, waiting: _Waiting, option: _Option, now: float) -> asks.SlotGrant:
-        ask = waiting.ask
-        server = option.server
-        server.start(ask, option.work_s, now)
-        key = work_times.object_key(ask.route, ask.object_key)
+    def _grant(
+        self, queued: _QueuedRequest, candidate: _Candidate, now: float
+    ) -> asks.SlotGrant:
+        """Start a request on a server and return its grant."""
+        request = queued.request
+        server = candidate.server
+        server.start(request, candidate.work_s, now)
+        key = work_times.object_key(request.route, request.object_key)
         if key is not None:
             self.pool.touched(server, key)
-        return asks.SlotGrant(ask.id, server.name, server.view.entry.address, option.work_s)
+        return asks.SlotGrant(
+            request.id, server.name, server.view.entry.address, candidate.work_s
+        )
 
-    def _refusal(self, ask: asks.Ask, code: codes.Code, now: float) -> asks.SlotRefusal:
+    def _refusal(self, request: asks.Ask, code: codes.Code, now: float) -> asks.SlotRefusal:
+        """Return a refusal that says how long the queue is expected to last."""
         slots = max(1, self.pool.slots)
-        backlog_s = sum(waiting.guess_s for waiting in self._waiting) / slots
-        retry_after_s = min(_LONGEST_RETRY_AFTER_S, max(_SHORTEST_RETRY_AFTER_S, backlog_s))
-        return asks.SlotRefusal(ask.id, code, retry_after_s, self._describe(ask, now))
+        backlog_s = sum(queued.expected_work_s for queued in self._queue) / slots
+        retry_after_s = min(_MAX_RETRY_AFTER_S, max(_MIN_RETRY_AFTER_S, backlog_s))
+        return asks.SlotRefusal(
+            request.id, code, retry_after_s, self._describe_state(request, now)
+        )
 
-    def _describe(self, ask: asks.Ask, now: float) -> str:
-        """Return what a refusal was decided from."""
+    def _describe_state(self, request: asks.Ask, now: float) -> str:
+        """Return the figures that explain a refusal."""
         return (
-            f"running={self.pool.running}/{self.pool.slots} waiting={len(self._waiting)} "
-            f"servers={len(self.pool.servers)} target_ms={(ask.target_at - now) * 1000:.0f} "
-            f"work_ms={self._guess(ask) * 1000:.0f}"
+            f"running={self.pool.running}/{self.pool.slots} waiting={len(self._queue)} "
+            f"servers={len(self.pool.servers)} "
+            f"target_ms={(request.target_at - now) * 1000:.0f} "
+            f"work_ms={self._estimate_work_s(request) * 1000:.0f}"
         )
 
 
-def _allowed(server: server_pool.PooledServer, ask: asks.Ask) -> bool:
-    if server.name in ask.avoided:
+def _is_eligible(server: server_pool.PooledServer, request: asks.Ask) -> bool:
+    if server.name in request.avoided:
         return False
-    return not ask.homes or server.region in ask.homes
+    return not request.homes or server.region in request.homes
--- a/src/carobhook/coordination/retry_allowance.py
+++ b/src/carobhook/coordination/retry_allowance.py
@@ -1,4 +1,4 @@
-"""Bounds the requests that a service gets beyond the first send of each."""
+"""Limits how often the requests for a service are sent again."""
 
 import collections
 import math
@@ -6,13 +6,13 @@
 import attrs
 
 _BUCKET_S = 0.5
-# Part of the slack that a new allowance has at once.
-_FIRST_SHARE = 0.1
+# Share of the slack that a new budget may use at once.
+_INITIAL_SLACK_SHARE = 0.1
 
 
 @attrs.define
-class _Window:
-    """Counts events over the last seconds."""
+class _SlidingWindow:
+    """Counts events in the last seconds, in buckets of `_BUCKET_S`."""
 
     length_s: float
     _buckets: collections.deque[list[float]] = attrs.field(
@@ -35,35 +35,36 @@
 
 @attrs.define
 class RetryAllowance:
-    """Lets at most a share of a service's requests, and a few more, be sent again.
+    """Limits retries to a share of a service's requests plus a fixed number per window.
 
     Load pattern: many servers fail at once and every request would be sent twice, which doubles
-    the load of the servers that are left. Each region counts its own requests, so the sum over
-    regions keeps the bound if each takes its part of the fixed number.
+    the load on the remaining servers. Each region counts its own requests. The limit still
+    holds for all regions together if the fixed number is divided among them.
 
     Attributes:
-        ratio: Repeats for each request.
-        slack: Repeats in a window besides.
+        ratio: Retries allowed for each request.
+        slack: Retries allowed in a window in addition.
         window_s: Length of the window in seconds.
-        began_at: Monotonic time in seconds from which this one counts. Another may have counted
-            before, so the slack is gained over a window.
-        share: Part of the slack that this one may use, while others may count besides.
+        started_at: Monotonic time in seconds at which this budget began to count. Another
+            instance may have used its slack just before, so the slack of this one grows to its
+            full size over a window.
+        share: Share of the slack that this budget may use while others may count too.
     """
 
     ratio: float
     slack: float
     window_s: float
-    began_at: float = -math.inf
+    started_at: float = -math.inf
     share: float = 1.0
-    _requests: _Window = attrs.field(init=False)
-    _repeats: _Window = attrs.field(init=False)
+    _requests: _SlidingWindow = attrs.field(init=False)
+    _retries: _SlidingWindow = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._requests = _Window(self.window_s)
-        self._repeats = _Window(self.window_s)
+        self._requests = _SlidingWindow(self.window_s)
+        self._retries = _SlidingWindow(self.window_s)
 
     def count_request(self, now: float) -> None:
-        """Count the first send of a request.
+        """Count the first attempt of a request.
 
         Args:
             now: Monotonic time in seconds.
@@ -71,15 +72,17 @@
         self._requests.add(now)
 
     def take(self, now: float) -> bool:
-        """Count a repeat if one is allowed; tell whether it is.
+        """Count a retry if the budget allows it; return whether it does.
 
         Args:
             now: Monotonic time in seconds.
         """
-        gained = min(1.0, _FIRST_SHARE + max(0.0, now - self.began_at) / self.window_s)
+        gained = min(
+            1.0, _INITIAL_SLACK_SHARE + max(0.0, now - self.started_at) / self.window_s
+        )
         slack = self.slack * self.share * gained
         allowed = self.ratio * self._requests.total(now) + slack
-        if self._repeats.total(now) + 1 > allowed:
+        if self._retries.total(now) + 1 > allowed:
             return False
-        self._repeats.add(now)
+        self._retries.add(now)
         return True
--- a/src/carobhook/coordination/server_pool.py
+++ b/src/carobhook/coordination/server_pool.py
@@ -1,4 +1,4 @@
-"""Slots and health of the backend servers that one dispatcher gives work to."""
+"""Slots and health of the backend servers that one dispatcher sends requests to."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -8,42 +8,46 @@
 from carobhook.coordination import catalog, token_bucket, work_times
 from carobhook.state import asks, ids
 
-# A server that broke connections is tried again after this, doubled with each further failure.
+# A server that broke a connection or could not be reached gets no requests for this long,
+# doubled with each further failure.
 _FIRST_PAUSE_S = 0.4
-_LONGEST_PAUSE_S = 3.0
+_MAX_PAUSE_S = 3.0
+# Weights of the latest sample in the moving averages of failures and of slowness.
 _FAILURE_WEIGHT = 0.15
 _SLOWNESS_WEIGHT = 0.25
-# Slowness that was observed is believed half as much after this time without new answers.
+# Without new answers, the observed slowness counts half as much after this time, so that a
+# server that is avoided as slow gets requests again.
 _SLOWNESS_HALF_LIFE_S = 3.0
 _SLOWNESS_RANGE = (0.5, 8.0)
 _SHED_PAUSE_S = 0.15
 _COLD_BURST = 2.0
 
 
-def shared_cold_rate(told_per_s: float, most_per_s: float, visible: float) -> float:
-    """Return the rate at which one dispatcher may send to a cold server.
+def shared_cold_rate(configured_per_s: float, max_per_s: float, visible: float) -> float:
+    """Return the rate at which one dispatcher may send requests to a cold server.
 
-    Load pattern: a server is cold while instances lose sight of each other, and each part of
-    them has a dispatcher. Two dispatchers may overlap for a moment, so each keeps to half of
-    the most that the server may get; parts that last share the rate by the instances they see.
+    Load pattern: the instances are partitioned while a server is cold, and each partition runs
+    its own dispatcher. While a partition forms or heals, two dispatchers may overlap for a
+    moment, so each is limited to half of what the server may get at most, less a burst. In a
+    partition that lasts, each one's share of the rate is the share of instances that it sees.
 
     Args:
-        told_per_s: Requests a second that a cold server bears.
-        most_per_s: Requests in one second that it may get from all instances.
-        visible: Part of the region's instances that this one sees.
+        configured_per_s: Requests a second that a cold server can handle.
+        max_per_s: Requests in one second that it may get from all instances.
+        visible: Share of the region's instances that this instance sees.
     """
-    return max(1.0, min(told_per_s, most_per_s / 2 - _COLD_BURST)) * visible
+    return max(1.0, min(configured_per_s, max_per_s / 2 - _COLD_BURST)) * visible
 
 
 @attrs.frozen
 class ServerOffer:
-    """A server that a pool may use.
+    """A server that a pool may use, and how many of its slots.
 
     Attributes:
-        view: What the store says of it.
+        view: The server's entry in the store.
         region: Its region.
         slots: Slots that the pool may use.
-        cold_rate: Requests a second that it may get while it is cold, None without a bound.
+        cold_rate: Requests a second that it may get while it is cold, or None for no limit.
     """
 
     view: catalog.ServerView
@@ -54,14 +58,14 @@
 
 @attrs.frozen
 class Running:
-    """A request that holds a slot.
+    """A request that occupies a slot.
 
     Attributes:
         route: Its route.
-        depth: Depth of its object at the server when it was granted.
+        depth: Depth of its object at the server when the slot was granted.
         started_at: Monotonic time in seconds of the grant.
         expected_s: Seconds that the server was expected to work.
-        slowness: How many times slower than others the server was expected to be.
+        slowness: Factor of the server's slowness that `expected_s` includes.
     """
 
     route: str
@@ -73,12 +77,17 @@
 
 @attrs.define(eq=False)
 class PooledServer:
-    """One server of a pool, with as many slots as the pool may use.
+    """One server of a pool, with its running requests and its observed health.
 
     Attributes:
-        view: What the store says of it.
+        view: The server's entry in the store.
         region: Its region.
-        slots: Slots that this pool may use.
+        slots: Slots assigned to this pool.
+        cold_bucket: Limits requests while the server is cold; None for no limit.
+        running: Requests that occupy a slot, by id.
+        objects: Objects that it was recently sent requests for.
+        lent: Slots of these that must stay free here, because other regions may use them or an
+            order withholds them.
     """
 
     view: catalog.ServerView
@@ -90,7 +99,7 @@
         factory=work_times.RecentObjects, init=False
     )
     lent: int = attrs.field(default=0, init=False)
-    _failures: int = attrs.field(default=0, init=False)
+    _consecutive_failures: int = attrs.field(default=0, init=False)
     _paused_until: float = attrs.field(default=-math.inf, init=False)
     _failure_share: float = attrs.field(default=0.0, init=False)
     _slowness: float = attrs.field(default=1.0, init=False)
@@ -103,112 +112,127 @@
 
     @property
     def failure_share(self) -> float:
-        """Return the share of its recent answers that were failures."""
+        """Return the moving average of failures among its answers, from 0 to 1."""
         return self._failure_share
 
     @property
     def doubtful(self) -> bool:
-        """Return whether the last thing known of it is that it does not answer."""
-        return self._failures > 0
+        """Return whether it failed to answer and has not answered since."""
+        return self._consecutive_failures > 0
 
     def take(self, offer: ServerOffer, now: float) -> None:
-        """Take in what is newly known of the server."""
+        """Update the store entry, the slots and the cold rate.
+
+        Args:
+            offer: The new values.
+            now: Monotonic time in seconds.
+        """
         self.view = offer.view
         self.slots = offer.slots
         if offer.cold_rate is None:
             return
         if self.cold_bucket is None:
             self.cold_bucket = token_bucket.TokenBucket(offer.cold_rate, _COLD_BURST)
-            # Another dispatcher may have used its burst a moment ago.
+            # Another dispatcher may have used the burst a moment ago.
             self.cold_bucket.empty(now)
         self.cold_bucket.rate = offer.cold_rate
 
     def free(self, now: float) -> int:
-        """Return how many slots are free.
+        """Return the number of free slots.
+
+        A paused server has none. After a failure, a server has one slot until it answers.
 
         Args:
             now: Monotonic time in seconds.
         """
         if now < self._paused_until:
             return 0
-        slots = 1 if self._failures else self.slots - self.lent
+        slots = 1 if self._consecutive_failures else self.slots - self.lent
         return max(0, slots - len(self.running))
 
     def admits(self, now: float) -> bool:
-        """Tell whether a cold server's rate allows one more request; peeks only."""
+        """Return whether the cold rate allows one more request, without counting one."""
         if self.cold_bucket is None or now >= self.view.cold_until:
             return True
         return self.cold_bucket.wait_s(now) <= 0
 
     def slowness(self, now: float) -> float:
-        """Return how many times longer than expected its answers take."""
+        """Return the factor by which its work takes longer than expected."""
         age_s = max(0.0, now - self._slowness_at)
-        trust = 0.5 ** (age_s / _SLOWNESS_HALF_LIFE_S)
-        return 1.0 + (self._slowness - 1.0) * trust
+        decay = 0.5 ** (age_s / _SLOWNESS_HALF_LIFE_S)
+        return 1.0 + (self._slowness - 1.0) * decay
 
     def next_free_s(self, now: float) -> float:
-        """Return the seconds until a slot is expected to be free."""
+        """Return the expected seconds until a slot is free."""
         if now < self._paused_until:
             return self._paused_until - now
         ends = [run.started_at + run.expected_s - now for run in self.running.values()]
         return max(0.005, min(ends)) if ends else 0.0
 
-    def start(self, ask: asks.Ask, expected_s: float, now: float) -> int | None:
-        """Give a slot to a request; return the depth that its object had."""
-        key = work_times.object_key(ask.route, ask.object_key)
+    def start(self, request: asks.Ask, expected_s: float, now: float) -> int | None:
+        """Occupy a slot with a request; return the depth that its object had before."""
+        key = work_times.object_key(request.route, request.object_key)
         depth = None
         if key is not None:
             depth = self.objects.depth(key)
             self.objects.touch(key)
-        self.running[ask.id] = Running(ask.route, depth, now, expected_s, self.slowness(now))
+        self.running[request.id] = Running(
+            request.route, depth, now, expected_s, self.slowness(now)
+        )
         if self.cold_bucket is not None and now < self.view.cold_until:
             self.cold_bucket.take(now)
         return depth
 
-    def ended(self, run: Running, end: asks.WorkEnd, now: float, foreseen: bool = True) -> None:
-        """Learn from the end of a request.
+    def ended(
+        self, run: Running, outcome: asks.WorkEnd, now: float, has_samples: bool = True
+    ) -> None:
+        """Update health and slowness from the outcome of a request.
 
         Args:
-            run: What held the slot.
-            end: How it ended.
+            run: The request, whose slot is free again.
+            outcome: How the attempt ended.
             now: Monotonic time in seconds.
-            foreseen: Whether its expected time rests on times that were observed.
+            has_samples: Whether its expected time is an average of observed times. An assumed
+                time says nothing about the server's slowness.
         """
-        if end is asks.WorkEnd.CANCELLED:
+        if outcome is asks.WorkEnd.CANCELLED:
             return
-        if end in (asks.WorkEnd.UNREACHABLE, asks.WorkEnd.BROKEN):
-            # Failures of requests that ran side by side count as one.
-            if run.started_at >= self._paused_until or self._failures == 0:
-                self._failures += 1
-                pause_s = min(_LONGEST_PAUSE_S, _FIRST_PAUSE_S * 2.0 ** (self._failures - 1))
+        if outcome in (asks.WorkEnd.UNREACHABLE, asks.WorkEnd.BROKEN):
+            # Requests that ran at the same time often fail together, so they count as one.
+            if run.started_at >= self._paused_until or self._consecutive_failures == 0:
+                self._consecutive_failures += 1
+                pause_s = min(
+                    _MAX_PAUSE_S, _FIRST_PAUSE_S * 2.0 ** (self._consecutive_failures - 1)
+                )
                 self._paused_until = now + pause_s
-            if end is asks.WorkEnd.UNREACHABLE:
+            if outcome is asks.WorkEnd.UNREACHABLE:
                 self.objects.clear()
             return
-        self._failures = 0
-        if end is asks.WorkEnd.MISDIRECTED:
-            self._paused_until = now + _LONGEST_PAUSE_S
+        self._consecutive_failures = 0
+        if outcome is asks.WorkEnd.MISDIRECTED:
+            self._paused_until = now + _MAX_PAUSE_S
             return
-        if end is asks.WorkEnd.SHED:
+        if outcome is asks.WorkEnd.SHED:
             self._paused_until = now + _SHED_PAUSE_S
-            self._blame(1.0)
+            self._update_failure_share(1.0)
             return
-        self._blame(1.0 if end is asks.WorkEnd.FAILED else 0.0)
-        if end is asks.WorkEnd.ANSWERED and foreseen and run.expected_s > 0:
+        self._update_failure_share(1.0 if outcome is asks.WorkEnd.FAILED else 0.0)
+        if outcome is asks.WorkEnd.ANSWERED and has_samples and run.expected_s > 0:
             elapsed_s = now - run.started_at
+            # The expected time includes the slowness known at the grant; this takes it out.
             ratio = elapsed_s * run.slowness / run.expected_s
             low, high = _SLOWNESS_RANGE
-            present = self.slowness(now)
-            self._slowness = present + _SLOWNESS_WEIGHT * (min(high, max(low, ratio)) - present)
+            current = self.slowness(now)
+            self._slowness = current + _SLOWNESS_WEIGHT * (min(high, max(low, ratio)) - current)
             self._slowness_at = now
 
-    def _blame(self, failed: float) -> None:
-        self._failure_share += _FAILURE_WEIGHT * (failed - self._failure_share)
+    def _update_failure_share(self, sample: float) -> None:
+        self._failure_share += _FAILURE_WEIGHT * (sample - self._failure_share)
 
 
 @attrs.define
 class ServerPool:
-    """The servers that one dispatcher gives work to."""
+    """The servers that one dispatcher sends requests to."""
 
     _servers: dict[ids.Server, PooledServer] = attrs.field(factory=dict, init=False)
     _holders: dict[str, set[ids.Server]] = attrs.field(factory=dict, init=False)
@@ -224,22 +248,26 @@
 
     @property
     def slots(self) -> int:
-        """Return how many slots this pool may use."""
+        """Return the number of slots that this pool may use."""
         return sum(max(0, server.slots - server.lent) for server in self._servers.values())
 
     @property
     def running(self) -> int:
-        """Return how many requests hold a slot."""
+        """Return the number of requests that occupy a slot."""
         return sum(len(server.running) for server in self._servers.values())
 
     def holders(self, key: str) -> list[PooledServer]:
-        """Return the servers that had an object lately."""
+        """Return the servers that were sent requests for an object.
+
+        Some may have had so many other objects since that they no longer list this one.
+        """
         names = self._holders.get(key, ())
         return [self._servers[name] for name in names if name in self._servers]
 
     def touched(self, server: PooledServer, key: str) -> None:
-        """Take note that a server has an object now."""
+        """Record that a server was sent a request for an object."""
         self._holders.setdefault(key, set()).add(server.name)
+        # Entries of objects that servers no longer list remain until the index is rebuilt.
         if len(self._holders) > 4 * work_times.MAX_OBJECTS * max(1, len(self._servers)):
             self._rebuild_holders()
 
@@ -250,23 +278,29 @@
                 self._holders.setdefault(key, set()).add(server.name)
 
     def replace(self, offers: Iterable[ServerOffer], now: float) -> None:
-        """Replace the list of servers; what is known of those that stay is kept.
+        """Replace the list of servers.
+
+        Servers that remain keep their state, unless they were restarted.
 
         Args:
             offers: Servers with their slots.
             now: Monotonic time in seconds.
         """
-        found: dict[ids.Server, PooledServer] = {}
+        servers: dict[ids.Server, PooledServer] = {}
         for offer in offers:
             pooled = self._servers.get(offer.view.entry.name)
             if pooled is None or _restarted(pooled.view, offer.view):
                 pooled = PooledServer(offer.view, offer.region, offer.slots)
             pooled.take(offer, now)
-            found[pooled.name] = pooled
-        self._servers = found
+            servers[pooled.name] = pooled
+        self._servers = servers
 
     def lend(self, counts: Mapping[ids.Server, int]) -> None:
-        """Set how many slots of each server others use."""
+        """Set how many slots of each server must stay free here.
+
+        Args:
+            counts: Slots by server; 0 for servers that are missing.
+        """
         for server in self._servers.values():
             server.lent = counts.get(server.name, 0)
 
--- a/src/carobhook/coordination/slot_loans.py
+++ b/src/carobhook/coordination/slot_loans.py
@@ -1,8 +1,8 @@
 """Decides how many slots each region lends to the others.
 
-Load pattern: regions have unequal servers and unequal, moving demand. A region whose own
-servers do not suffice borrows slots from those that have room; when there is not enough
-anywhere, all regions get the same share of what they need.
+Load pattern: regions have unequal servers and unequal, changing demand. A region whose own
+servers are not enough borrows slots from regions that can spare some. If all regions together
+have too few slots, each gets the same share of what it needs.
 """
 
 from collections.abc import Mapping
@@ -11,23 +11,26 @@
 
 from carobhook.state import ids
 
-# Share of its slots that a region wants to have busy; above it, requests begin to wait. Few
-# slots need more room besides, as their load varies more.
-_COMFORTABLE_SHARE = 0.55
-_ROOM_SLOTS = 1.5
-# A region keeps a loan until it needs this much less, so that loans don't come and go.
+# A region needs enough slots that its demand keeps only this share of them busy; with fewer,
+# requests begin to queue. It needs some more on top, because demand varies more, compared with
+# its mean, when it is small.
+_TARGET_UTILIZATION = 0.55
+_EXTRA_SLOTS = 1.5
+# A loan stays as it is while it is within this many slots of its target. Otherwise small
+# changes of demand would move slots back and forth.
 _HYSTERESIS_SLOTS = 0.7
-# A borrower has heard of a change after this, and has told which recalled slots still work.
+# Within this time the borrower has received the recall, and has reported which of the recalled
+# slots are still running requests.
 _RECALL_S = 0.7
 
 
 @attrs.frozen
 class RegionLoad:
-    """One region's servers and demand of one service.
+    """One region's servers and demand for one service.
 
     Attributes:
-        slots: Slots of its own servers that can be used.
-        demand: Slots that its clients' requests keep busy at their present rate, or None while
+        slots: Usable slots of its own servers.
+        demand: Slots that its clients' requests keep busy at their current rate, or None while
             it has had no requests.
     """
 
@@ -42,37 +45,41 @@
 
     Args:
         own: The lending region.
-        loads: All regions that were heard lately, the lending one included.
+        loads: Loads of all regions with a recent report, including the lending one.
     """
     total = sum(load.slots for load in loads.values())
-    needs = {region: _need(load, total / len(loads)) for region, load in loads.items()}
-    whole_need = sum(needs.values())
-    if whole_need > total > 0:
-        needs = {region: need * total / whole_need for region, need in needs.items()}
+    needs = {region: _needed_slots(load, total / len(loads)) for region, load in loads.items()}
+    total_need = sum(needs.values())
+    if total_need > total > 0:
+        needs = {region: need * total / total_need for region, need in needs.items()}
     spare = {region: max(0.0, loads[region].slots - needs[region]) for region in loads}
-    lacking = {region: max(0.0, needs[region] - loads[region].slots) for region in loads}
-    whole_spare = sum(spare.values())
-    if whole_spare <= 0 or spare.get(own, 0.0) <= 0:
+    shortfalls = {region: max(0.0, needs[region] - loads[region].slots) for region in loads}
+    total_spare = sum(spare.values())
+    if total_spare <= 0 or spare.get(own, 0.0) <= 0:
         return {}
-    covered = min(1.0, whole_spare / max(1e-9, sum(lacking.values())))
-    part = spare[own] / whole_spare
-    return {region: lack * covered * part for region, lack in lacking.items() if lack > 0}
+    covered_share = min(1.0, total_spare / max(1e-9, sum(shortfalls.values())))
+    own_share = spare[own] / total_spare
+    return {
+        region: shortfall * covered_share * own_share
+        for region, shortfall in shortfalls.items()
+        if shortfall > 0
+    }
 
 
-def _need(load: RegionLoad, equal_part: float) -> float:
-    """Return the slots that a region wants to have; without requests, its equal part."""
+def _needed_slots(load: RegionLoad, equal_share: float) -> float:
+    """Return the slots that a region needs; its equal share if it had no requests yet."""
     if load.demand is None:
-        return equal_part
-    return load.demand / _COMFORTABLE_SHARE + _ROOM_SLOTS
+        return equal_share
+    return load.demand / _TARGET_UTILIZATION + _EXTRA_SLOTS
 
 
 @attrs.define
 class LoanBook:
-    """Whole slots that a region lends, moved toward what is wanted in bounded steps.
+    """Moves the whole slots that a region lends toward their targets in limited steps.
 
     Attributes:
-        step: Most slots by which the loan to one region changes at a time, as a share of the
-            borrower's demand.
+        step: Largest change of the loan to one region per update, as a share of the borrower's
+            demand.
     """
 
     step: float
@@ -84,51 +91,54 @@
         return self._lent
 
     def update(
-        self, wanted: Mapping[ids.Region, float], loads: Mapping[ids.Region, RegionLoad]
+        self, targets: Mapping[ids.Region, float], loads: Mapping[ids.Region, RegionLoad]
     ) -> None:
-        """Move the loans one step toward what is wanted.
+        """Move each loan one step toward its target.
+
+        Before a borrower's first request its loan moves to the target at once, because no
+        requests move with it.
 
         Args:
-            wanted: Result of `wanted_loans`.
-            loads: Regions that were heard lately; loans to others end.
+            targets: Result of `wanted_loans`.
+            loads: Loads of the regions with a recent report; loans to others end.
         """
-        moved: dict[ids.Region, int] = {}
-        for region in {*wanted, *self._lent} & set(loads):
-            present = self._lent.get(region, 0)
-            goal = wanted.get(region, 0.0)
+        updated: dict[ids.Region, int] = {}
+        for region in {*targets, *self._lent} & set(loads):
+            current = self._lent.get(region, 0)
+            target = targets.get(region, 0.0)
             demand = loads[region].demand
             if demand is None:
-                moved[region] = round(goal)
+                updated[region] = round(target)
                 continue
-            if abs(goal - present) <= _HYSTERESIS_SLOTS:
-                moved[region] = present
+            if abs(target - current) <= _HYSTERESIS_SLOTS:
+                updated[region] = current
                 continue
-            most = max(1, round(self.step * demand))
-            change = round(goal) - present
-            moved[region] = present + max(-most, min(most, change))
-        self._lent = {region: count for region, count in moved.items() if count > 0}
+            max_step = max(1, round(self.step * demand))
+            change = round(target) - current
+            updated[region] = current + max(-max_step, min(max_step, change))
+        self._lent = {region: count for region, count in updated.items() if count > 0}
 
 
 @attrs.define
 class RecalledSlots:
-    """Slots that were lent until a moment ago, and may still be given out by the borrower.
+    """Recalled slots that the borrower may still be using.
 
-    Load pattern: loans move while every slot is busy. A slot that two dispatchers give out at
-    once lets one request wait inside the server, where nobody can refuse or move it.
+    Load pattern: loans change while every slot is busy. If two dispatchers grant the same slot,
+    one of the two requests queues inside the server, where it can't be refused or moved.
     """
 
-    _held: list[tuple[float, ids.Server, int]] = attrs.field(factory=list, init=False)
+    _pending: list[tuple[float, ids.Server, int]] = attrs.field(factory=list, init=False)
 
     @property
     def counts(self) -> dict[ids.Server, int]:
-        """Return the slots of each server that must not be given out yet."""
-        found: dict[ids.Server, int] = {}
-        for _, server, count in self._held:
-            found[server] = found.get(server, 0) + count
-        return found
+        """Return the slots of each server that must not be granted yet."""
+        counts: dict[ids.Server, int] = {}
+        for _, server, count in self._pending:
+            counts[server] = counts.get(server, 0) + count
+        return counts
 
     def of(self, server: ids.Server) -> int:
-        """Return the slots of one server that must not be given out yet."""
+        """Return the number of slots of one server that must not be granted yet."""
         return self.counts.get(server, 0)
 
     def recall(
@@ -137,26 +147,26 @@
         after: Mapping[ids.Region, Mapping[ids.Server, int]],
         now: float,
     ) -> None:
-        """Take note of the slots that a change of loans takes back.
+        """Add the slots that a change of loans takes back.
 
         Args:
-            before: The loans until now.
-            after: The loans from now on.
+            before: The loans before the change.
+            after: The loans after the change.
             now: Monotonic time in seconds.
         """
-        for region, held in before.items():
-            for server, count in held.items():
-                less = count - after.get(region, {}).get(server, 0)
-                if less > 0:
-                    self._held.append((now + _RECALL_S, server, less))
+        for region, loaned in before.items():
+            for server, count in loaned.items():
+                recalled = count - after.get(region, {}).get(server, 0)
+                if recalled > 0:
+                    self._pending.append((now + _RECALL_S, server, recalled))
 
     def forget(self, now: float) -> None:
-        """Give up the slots whose borrower has heard of the change by now.
+        """Remove the slots that the borrower has had time to give back.
 
         Args:
             now: Monotonic time in seconds.
         """
-        self._held = [entry for entry in self._held if entry[0] > now]
+        self._pending = [entry for entry in self._pending if entry[0] > now]
 
 
 def place_loans(
@@ -164,37 +174,45 @@
     slots: Mapping[ids.Server, int],
     before: Mapping[ids.Region, Mapping[ids.Server, int]],
 ) -> dict[ids.Region, dict[ids.Server, int]]:
-    """Return which servers' slots make up the loans.
+    """Return how many slots of each server are lent to each region.
 
-    Slots of few servers are lent, and those that were lent before, because a server works
-    faster on objects that it had lately.
+    A server works faster on objects that it handled recently. So slots that were lent before
+    are lent again first, and each loan uses few servers.
 
     Args:
         lent: Slots lent to each region.
         slots: Slots of each server that can be lent, in order of preference.
-        before: The loans so far.
+        before: The current loans.
     """
-    left = dict(slots)
+    available = dict(slots)
     placed: dict[ids.Region, dict[ids.Server, int]] = {region: {} for region in sorted(lent)}
-    wanted = dict(lent)
-    for region, held in placed.items():
-        _lend(left, wanted, region, held, before.get(region, {}))
-    for region, held in placed.items():
-        _lend(left, wanted, region, held, slots)
+    missing = dict(lent)
+    for region, loaned in placed.items():
+        _lend(available, missing, region, loaned, before.get(region, {}))
+    for region, loaned in placed.items():
+        _lend(available, missing, region, loaned, slots)
     return placed
 
 
 def _lend(
-    left: dict[ids.Server, int],
-    wanted: dict[ids.Region, int],
+    available: dict[ids.Server, int],
+    missing: dict[ids.Region, int],
     region: ids.Region,
-    held: dict[ids.Server, int],
-    most: Mapping[ids.Server, int],
+    loaned: dict[ids.Server, int],
+    limits: Mapping[ids.Server, int],
 ) -> None:
-    """Add slots that are left to a region's loan, at most so many of each server."""
-    for server, count in most.items():
-        taken = min(left.get(server, 0), wanted[region], count)
-        if taken > 0:
-            held[server] = held.get(server, 0) + taken
-            left[server] -= taken
-            wanted[region] -= taken
+    """Move available slots into a region's loan.
+
+    Args:
+        available: Slots of each server that are not lent yet; reduced.
+        missing: Slots that each region's loan still lacks; reduced.
+        region: The borrowing region.
+        loaned: Its loan, by server; extended.
+        limits: Largest number of slots to add of each server.
+    """
+    for server, limit in limits.items():
+        added = min(available.get(server, 0), missing[region], limit)
+        if added > 0:
+            loaned[server] = loaned.get(server, 0) + added
+            available[server] -= added
+            missing[region] -= added
--- a/src/carobhook/coordination/smooth_choice.py
+++ b/src/carobhook/coordination/smooth_choice.py
@@ -1,33 +1,34 @@
-"""Chooses among weighted parts so that over any few choices each part gets its share."""
+"""Smooth weighted round-robin: any few consecutive choices already follow the weights."""
 
 import typing
 from collections.abc import Hashable, Mapping
 
 import attrs
 
-_Part = typing.TypeVar("_Part", bound=Hashable)
+_Item = typing.TypeVar("_Item", bound=Hashable)
 
 
 @attrs.define
-class SmoothChoice(typing.Generic[_Part]):
-    """Remembers what each part has coming, by what is chosen for.
+class SmoothChoice(typing.Generic[_Item]):
+    """Chooses among weighted items in turn, separately for each key.
 
-    Load pattern: shares are judged over a few hundred requests, in which draws at random would
-    be off by more than is allowed, and come in runs.
+    Load pattern: shares are checked over a few hundred requests. Random choices would miss them
+    by more than is allowed over so few requests, and would choose one item several times in a
+    row.
     """
 
-    _credits: dict[Hashable, dict[_Part, float]] = attrs.field(factory=dict, init=False)
+    _credits: dict[Hashable, dict[_Item, float]] = attrs.field(factory=dict, init=False)
 
-    def choose(self, what: Hashable, weights: Mapping[_Part, float]) -> _Part:
-        """Return the part that is next.
+    def choose(self, key: Hashable, weights: Mapping[_Item, float]) -> _Item:
+        """Return the next item.
 
         Args:
-            what: What is chosen for; each has credits of its own.
-            weights: Weights of the parts; of equal parts, the first is chosen.
+            key: Key of the rotation; each has its own state.
+            weights: Weight of each item; between items with equal credit, the first is chosen.
         """
-        before = self._credits.get(what, {})
-        credits_ = {part: before.get(part, 0.0) + weight for part, weight in weights.items()}
-        chosen = max(weights, key=lambda part: credits_[part])
+        before = self._credits.get(key, {})
+        credits_ = {item: before.get(item, 0.0) + weight for item, weight in weights.items()}
+        chosen = max(weights, key=lambda item: credits_[item])
         credits_[chosen] -= sum(weights.values())
-        self._credits[what] = credits_
+        self._credits[key] = credits_
         return chosen
--- a/src/carobhook/coordination/token_bucket.py
+++ b/src/carobhook/coordination/token_bucket.py
@@ -1,4 +1,4 @@
-"""Token bucket: a rate with a burst, decided from the present time."""
+"""Token bucket that limits calls to a rate with a burst, at times given by the caller."""
 
 import attrs
 from attrs import validators
@@ -16,39 +16,39 @@
     rate: float = attrs.field(validator=validators.gt(0))
     burst: float = attrs.field(validator=validators.ge(1))
     _tokens: float = attrs.field(init=False)
-    _filled_at: float | None = attrs.field(init=False, default=None)
+    _refilled_at: float | None = attrs.field(init=False, default=None)
 
     def __attrs_post_init__(self) -> None:
         self._tokens = self.burst
 
     def empty(self, now: float) -> None:
-        """Take all tokens, so that a burst has to be gained first."""
-        self._tokens, self._filled_at = 0.0, now
+        """Remove all tokens, so that a burst is allowed only after they are gained again."""
+        self._tokens, self._refilled_at = 0.0, now
 
     def take(self, now: float) -> bool:
-        """Take one token if there is one; tell whether it was taken.
+        """Remove one token if there is one; return whether there was.
 
         Args:
-            now: Present time in seconds.
+            now: Current time in seconds.
         """
-        self._fill(now)
+        self._refill(now)
         if self._tokens < 1:
             return False
         self._tokens -= 1
         return True
 
     def left(self, now: float) -> float:
-        """Return the tokens that are there now."""
-        self._fill(now)
+        """Return the number of tokens available now."""
+        self._refill(now)
         return self._tokens
 
     def wait_s(self, now: float) -> float:
-        """Return the seconds until one token is there; 0 if there is one now."""
-        self._fill(now)
+        """Return the seconds until one token is available; 0 if there is one now."""
+        self._refill(now)
         return max(0.0, (1 - self._tokens) / self.rate)
 
-    def _fill(self, now: float) -> None:
-        if self._filled_at is not None:
-            gained = max(0.0, now - self._filled_at) * self.rate
+    def _refill(self, now: float) -> None:
+        if self._refilled_at is not None:
+            gained = max(0.0, now - self._refilled_at) * self.rate
             self._tokens = min(self.burst, self._tokens + gained)
-        self._filled_at = now
+        self._refilled_at = now
--- a/src/carobhook/coordination/work_times.py
+++ b/src/carobhook/coordination/work_times.py
@@ -1,4 +1,4 @@
-"""Learns how long servers work on a kind of request, by how lately they had its object."""
+"""Estimates work times by route and by how recently the server handled the object."""
 
 import bisect
 import collections
@@ -6,19 +6,22 @@
 
 import attrs
 
-# Upper ends of the classes of "so many other objects since the server had this one".
-_DEPTHS = (4, 8, 12, 16, 20, 24, 28, 32, 40, 48, 56, 64, 80, 96, 128)
-_NEVER = len(_DEPTHS)
-_WEIGHT = 0.1
-# Share of the usual time that a server is taken to need for an object that it had lately.
-_WARM_GUESS = 0.5
+# Upper ends of the depth classes. An object's depth at a server is the number of other objects
+# that the server has handled since.
+_DEPTH_CLASS_ENDS = (4, 8, 12, 16, 20, 24, 28, 32, 40, 48, 56, 64, 80, 96, 128)
+# Class of objects that the server has not handled, or so long ago that it is no longer known.
+_UNKNOWN_DEPTH = len(_DEPTH_CLASS_ENDS)
+_MEAN_WEIGHT = 0.1
+# Assumed work time for an object that the server handled recently, as a share of the time for
+# one that it did not.
+_DEFAULT_WARM_SHARE = 0.5
 _HIGH_DEVIATIONS = 1.5
-MAX_OBJECTS = _DEPTHS[-1]
+MAX_OBJECTS = _DEPTH_CLASS_ENDS[-1]
 
 
 @attrs.define
 class RecentObjects:
-    """Objects that a server handled, the latest last."""
+    """The objects that a server handled most recently, in LRU order with the latest last."""
 
     _order: collections.OrderedDict[str, None] = attrs.field(
         factory=collections.OrderedDict, init=False
@@ -31,7 +34,7 @@
         return len(self._order)
 
     def touch(self, key: str) -> str | None:
-        """Make an object the latest; return an object that is forgotten for it."""
+        """Make an object the latest; return the object evicted for it, if any."""
         self._order[key] = None
         self._order.move_to_end(key)
         if len(self._order) <= MAX_OBJECTS:
@@ -39,11 +42,11 @@
         return self._order.popitem(last=False)[0]
 
     def depth(self, key: str) -> int | None:
-        """Return how many other objects came later, or None if the object is not known."""
+        """Return how many other objects were handled since, or None for an unknown object."""
         if key not in self._order:
             return None
-        for depth, held in enumerate(reversed(self._order)):
-            if held == key:
+        for depth, other in enumerate(reversed(self._order)):
+            if other == key:
                 return depth
         return None
 
@@ -51,13 +54,13 @@
         return iter(self._order)
 
     def clear(self) -> None:
-        """Forget everything, as a restarted server has."""
+        """Remove all objects, as a restarted server has none in memory."""
         self._order.clear()
 
 
 @attrs.define
-class _Mean:
-    """Moving mean and mean deviation."""
+class _MovingMean:
+    """Exponential moving mean and mean absolute deviation."""
 
     value: float = 0.0
     deviation: float = 0.0
@@ -65,14 +68,14 @@
 
     def add(self, value: float) -> None:
         self.samples += 1
-        weight = max(_WEIGHT, 1 / self.samples)
+        weight = max(_MEAN_WEIGHT, 1 / self.samples)
         error = value - self.value
         self.value += weight * error
         self.deviation += weight * (abs(error) * (1 - weight) - self.deviation)
 
     @property
     def high(self) -> float:
-        """Return a value that few exceed."""
+        """Return a value that few samples exceed."""
         return self.value + _HIGH_DEVIATIONS * self.deviation
 
 
@@ -80,35 +83,37 @@
 class WorkTimes:
     """Mean work times of each route, in seconds, by the depth of the object at the server.
 
-    Load pattern: a server works three times as fast on an object that it had lately, and how
-    many objects it keeps is told nowhere. Times are kept for classes of depth, so that the
-    edge shows by itself. A class without samples takes the nearest one that has some.
+    Load pattern: a server works three times as fast on an object that it handled recently, but
+    it doesn't report how many objects it keeps. With one mean for each class of depth, the
+    limit shows in the measured times. A class without samples uses the nearest class that has
+    some.
     """
 
-    _means: dict[str, list[_Mean]] = attrs.field(factory=dict, init=False)
+    _means: dict[str, list[_MovingMean]] = attrs.field(factory=dict, init=False)
 
-    def expected(self, route: str, depth: int | None, guess_s: float) -> float:
+    def expected(self, route: str, depth: int | None, default_s: float) -> float:
         """Return the expected work time in seconds.
 
         Args:
             route: Name of the route.
-            depth: Other objects that the server had since, None if it never had this one.
-            guess_s: Answer while nothing is known of the route.
+            depth: Number of other objects that the server has handled since, or None if this
+                one is unknown there.
+            default_s: Work time to assume while there are no samples.
         """
         means = self._means.get(route)
         if means is None:
-            return guess_s if depth is None else guess_s * _WARM_GUESS
-        wanted = _class_of(depth)
-        if wanted == _NEVER:
-            return means[_NEVER].value if means[_NEVER].samples else guess_s
-        for distance in range(_NEVER):
+            return default_s if depth is None else default_s * _DEFAULT_WARM_SHARE
+        wanted = _depth_class(depth)
+        if wanted == _UNKNOWN_DEPTH:
+            return means[_UNKNOWN_DEPTH].value if means[_UNKNOWN_DEPTH].samples else default_s
+        for distance in range(_UNKNOWN_DEPTH):
             for near in (wanted - distance, wanted + distance):
-                if 0 <= near < _NEVER and means[near].samples:
+                if 0 <= near < _UNKNOWN_DEPTH and means[near].samples:
                     return means[near].value
-        return means[_NEVER].value * _WARM_GUESS
+        return means[_UNKNOWN_DEPTH].value * _DEFAULT_WARM_SHARE
 
     def spread(self, route: str) -> float:
-        """Return by how many times few answers of a route exceed their expected time."""
+        """Return the ratio of a high work time, which few requests exceed, to the mean."""
         means = self._means.get(route, ())
         known = [mean for mean in means if mean.samples and mean.value > 0]
         if not known:
@@ -117,26 +122,37 @@
         return sum(mean.high / mean.value * mean.samples for mean in known) / samples
 
     def seen(self, route: str, depth: int | None) -> bool:
-        """Tell whether a time was observed for just this route and class of depth."""
+        """Return whether there are samples for exactly this route and depth class."""
         means = self._means.get(route)
-        return means is not None and means[_class_of(depth)].samples > 0
+        return means is not None and means[_depth_class(depth)].samples > 0
 
     def observe(self, route: str, depth: int | None, elapsed_s: float) -> None:
-        """Take in how long a server worked.
+        """Add a measured work time.
 
         Args:
             route: Name of the route.
             depth: Depth of the object when the request was sent.
-            elapsed_s: Seconds from the send to the whole answer.
+            elapsed_s: Seconds from sending the request to the complete answer.
         """
-        means = self._means.setdefault(route, [_Mean() for _ in range(_NEVER + 1)])
-        means[_class_of(depth)].add(elapsed_s)
+        means = self._means.setdefault(
+            route, [_MovingMean() for _ in range(_UNKNOWN_DEPTH + 1)]
+        )
+        means[_depth_class(depth)].add(elapsed_s)
 
 
-def _class_of(depth: int | None) -> int:
-    return _NEVER if depth is None else bisect.bisect_left(_DEPTHS, depth + 1, hi=_NEVER - 1)
+def _depth_class(depth: int | None) -> int:
+    return (
+        _UNKNOWN_DEPTH
+        if depth is None
+        else bisect.bisect_left(_DEPTH_CLASS_ENDS, depth + 1, hi=_UNKNOWN_DEPTH - 1)
+    )
 
 
 def object_key(route: str, key: str | None) -> str | None:
-    """Return what identifies an object at a server, None without one."""
+    """Return a key that is unique among the objects of all routes, or None without an object.
+
+    Args:
+        route: Name of the route.
+        key: Key of the object within the route, or None.
+    """
     return None if key is None else f"{route}\0{key}"
