--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of carobhook.coordination.dispatcher, some by replays of whole load patterns."""
+"""Tests of carobhook.coordination.dispatcher, some of which replay generated loads."""
 
 import heapq
 import random
@@ -18,8 +18,8 @@
 FAR = ids.Region("south")
 
 
-def server(name, slots=2, region=HOME, cold_until=0.0, cold_per_s=None, born=None):
-    """Return a server as a pool holds it."""
+def offer(name, slots=2, region=HOME, cold_until=0.0, cold_rate=None, started_at_ms=None):
+    """Return a ready server with its slots, as a pool takes it."""
     entry = servers.ServerEntry(
         ids.Server(name),
         SERVICE,
@@ -28,23 +28,23 @@
         slots,
         servers.ServerState.READY,
         0.0,
-        born,
+        started_at_ms,
     )
     return server_pool.ServerOffer(
-        catalog.ServerView(entry, cold_until), region, slots, cold_rate=cold_per_s
+        catalog.ServerView(entry, cold_until), region, slots, cold_rate=cold_rate
     )
 
 
-def made(*pooled, ratio=10.0, slack=10.0):
-    """Return a dispatcher with some servers."""
+def make_dispatcher(*offers, ratio=10.0, slack=10.0):
+    """Return a dispatcher whose pool has the offered servers."""
     allowance = retry_allowance.RetryAllowance(ratio, slack, 10.0)
-    one = dispatcher.Dispatcher(allowance)
-    one.pool.replace(pooled, 0.0)
-    return one
+    dispatcher_ = dispatcher.Dispatcher(allowance)
+    dispatcher_.pool.replace(offers, 0.0)
+    return dispatcher_
 
 
-def ask(number, now=0.0, target_s=1.0, deadline_s=5.0, **fields):
-    """Return an ask."""
+def make_request(number, now=0.0, target_s=1.0, deadline_s=5.0, **fields):
+    """Return a slot request with the id ``r<number>``."""
     fields = {"object_key": None, "priority": 1} | fields
     return asks.Ask(
         ids.RequestId(f"r{number}"),
@@ -56,157 +56,169 @@
     )
 
 
-def grants(decisions):
-    """Return the ids that got a slot."""
+def granted_ids(decisions):
+    """Return the ids of the requests that were granted a slot."""
     return [d.ask_id for d in decisions if isinstance(d, asks.SlotGrant)]
 
 
 class TestSlots:
-    """No server gets more than its slots."""
-
-    def test_requests_beyond_the_slots_wait(self):
-        """The third request of two slots waits, and goes when one is free."""
-        one = made(server("a"))
-        assert grants(one.ask(ask(1), 0.0)) == ["r1"]
-        assert grants(one.ask(ask(2), 0.0)) == ["r2"]
-        assert one.ask(ask(3), 0.0) == []
-        freed = one.ended(ids.RequestId("r1"), ids.Server("a"), asks.WorkEnd.ANSWERED, 0.2)
-        assert grants(freed) == ["r3"]
-
-    def test_lent_slots_are_not_used(self):
-        """What another region uses is not given out here."""
-        one = made(server("a"))
-        one.pool.lend({ids.Server("a"): 1})
-        one.ask(ask(1), 0.0)
-        assert one.ask(ask(2), 0.0) == []
-
-    def test_slots_that_a_former_dispatcher_gave_out_count(self):
-        """After a takeover, requests that run already hold their slots."""
-        one = made(server("a", slots=1))
-        one.hold(ask(1), ids.Server("a"), 0.0)
-        assert one.ask(ask(2), 0.0) == []
-
-    def test_no_server_is_refused_at_once(self):
-        """Without any server that may take it, nothing waits."""
-        decisions = made().ask(ask(1), 0.0)
+    """No server gets more requests than it has slots."""
+
+    def test_request_is_queued_while_all_slots_are_busy(self):
+        """With two slots, the third request is queued, and granted when one is released."""
+        dispatcher_ = make_dispatcher(offer("a"))
+        assert granted_ids(dispatcher_.ask(make_request(1), 0.0)) == ["r1"]
+        assert granted_ids(dispatcher_.ask(make_request(2), 0.0)) == ["r2"]
+        assert dispatcher_.ask(make_request(3), 0.0) == []
+        decisions = dispatcher_.ended(
+            ids.RequestId("r1"), ids.Server("a"), asks.WorkEnd.ANSWERED, 0.2
+        )
+        assert granted_ids(decisions) == ["r3"]
+
+    def test_lent_slots_are_not_granted(self):
+        """A slot lent to another region is not granted by the lender."""
+        dispatcher_ = make_dispatcher(offer("a"))
+        dispatcher_.pool.lend({ids.Server("a"): 1})
+        dispatcher_.ask(make_request(1), 0.0)
+        assert dispatcher_.ask(make_request(2), 0.0) == []
+
+    def test_slots_granted_by_the_previous_dispatcher_count(self):
+        """After a takeover, requests that already run occupy their slots."""
+        dispatcher_ = make_dispatcher(offer("a", slots=1))
+        dispatcher_.hold(make_request(1), ids.Server("a"), 0.0)
+        assert dispatcher_.ask(make_request(2), 0.0) == []
+
+    def test_request_without_a_usable_server_is_refused_at_once(self):
+        """A request that no server may run is refused, not queued."""
+        decisions = make_dispatcher().ask(make_request(1), 0.0)
         assert [d.code for d in decisions] == [codes.Code.NO_BACKEND]
 
-    def test_homes_bind(self):
-        """A request with homes goes nowhere else."""
-        one = made(server("a", region=FAR))
-        decisions = one.ask(ask(1, homes=frozenset({HOME})), 0.0)
+    def test_request_runs_only_in_its_home_regions(self):
+        """A request with home regions is sent to no server elsewhere."""
+        dispatcher_ = make_dispatcher(offer("a", region=FAR))
+        decisions = dispatcher_.ask(make_request(1, homes=frozenset({HOME})), 0.0)
         assert [d.code for d in decisions] == [codes.Code.NO_BACKEND]
 
 
-class TestRefusing:
-    """What cannot be in time is refused when it comes."""
+class TestRefusals:
+    """Requests that cannot meet their target are refused early."""
 
-    def test_long_queue_refuses_on_arrival(self):
-        """The wait behind the queue is known, and refused if it passes the target."""
-        one = made(server("a", slots=1))
-        answered = []
+    def test_long_queue_causes_refusals_on_arrival(self):
+        """A request is refused on arrival if its expected wait exceeds its target."""
+        dispatcher_ = make_dispatcher(offer("a", slots=1))
+        decisions = []
         for number in range(20):
-            answered += one.ask(ask(number, target_s=0.6), 0.0)
-        refused = [d for d in answered if isinstance(d, asks.SlotRefusal)]
+            decisions += dispatcher_.ask(make_request(number, target_s=0.6), 0.0)
+        refused = [d for d in decisions if isinstance(d, asks.SlotRefusal)]
         assert len(refused) > 10
         assert all(d.code is codes.Code.DEADLINE_UNMEETABLE for d in refused)
         assert all(0 < d.retry_after_s <= 5 for d in refused)
 
-    def test_hopeless_gives_way_early(self):
-        """What cannot be in time any more leaves the queue when others still can."""
-        one = made(server("a", slots=1))
-        one.ask(ask(1), 0.0)
-        one.ask(ask(2, target_s=0.7), 0.0)
-        one.ask(ask(3, now=0.1, target_s=3.0), 0.1)
-        decisions = one.decide(0.6)
+    def test_late_request_is_dropped_while_others_are_in_time(self):
+        """A request that will miss its target leaves the queue if another can meet its own."""
+        dispatcher_ = make_dispatcher(offer("a", slots=1))
+        dispatcher_.ask(make_request(1), 0.0)
+        dispatcher_.ask(make_request(2, target_s=0.7), 0.0)
+        dispatcher_.ask(make_request(3, now=0.1, target_s=3.0), 0.1)
+        decisions = dispatcher_.decide(0.6)
         assert [d.ask_id for d in decisions] == ["r2"]
 
-    def test_late_request_is_served_while_nobody_else_waits(self):
-        """An answer that comes late is better than none, if it takes nobody's slot."""
-        one = made(server("a", slots=1))
-        one.ask(ask(1), 0.0)
-        one.ask(ask(2, target_s=0.7), 0.0)
-        assert one.decide(0.6) == []
-        freed = one.ended(ids.RequestId("r1"), ids.Server("a"), asks.WorkEnd.ANSWERED, 0.8)
-        assert grants(freed) == ["r2"]
-
-    def test_urgent_goes_first(self):
-        """Rank decides among those that wait."""
-        one = made(server("a", slots=1))
-        one.ask(ask(1), 0.0)
-        one.ask(ask(2, priority=2), 0.0)
-        one.ask(ask(3, priority=0), 0.01)
-        freed = one.ended(ids.RequestId("r1"), ids.Server("a"), asks.WorkEnd.ANSWERED, 0.1)
-        assert grants(freed) == ["r3"]
-
-    def test_repeats_are_bounded(self):
-        """Once the allowance is used up, a repeat is refused as not run."""
-        one = made(server("a", slots=9), ratio=0.1, slack=1.0)
-        one.ask(ask(1), 0.0)
-        assert grants(one.ask(ask(2, repeat=True), 0.0)) == ["r2"]
-        decisions = one.ask(ask(3, repeat=True), 0.0)
+    def test_late_request_is_served_while_no_other_waits(self):
+        """A late answer is better than none, if no other request needs the slot."""
+        dispatcher_ = make_dispatcher(offer("a", slots=1))
+        dispatcher_.ask(make_request(1), 0.0)
+        dispatcher_.ask(make_request(2, target_s=0.7), 0.0)
+        assert dispatcher_.decide(0.6) == []
+        decisions = dispatcher_.ended(
+            ids.RequestId("r1"), ids.Server("a"), asks.WorkEnd.ANSWERED, 0.8
+        )
+        assert granted_ids(decisions) == ["r2"]
+
+    def test_urgent_request_is_granted_first(self):
+        """Among queued requests, the lowest priority number is served first."""
+        dispatcher_ = make_dispatcher(offer("a", slots=1))
+        dispatcher_.ask(make_request(1), 0.0)
+        dispatcher_.ask(make_request(2, priority=2), 0.0)
+        dispatcher_.ask(make_request(3, priority=0), 0.01)
+        decisions = dispatcher_.ended(
+            ids.RequestId("r1"), ids.Server("a"), asks.WorkEnd.ANSWERED, 0.1
+        )
+        assert granted_ids(decisions) == ["r3"]
+
+    def test_retries_are_limited(self):
+        """Once the retry budget is used up, a retry is refused as not run."""
+        dispatcher_ = make_dispatcher(offer("a", slots=9), ratio=0.1, slack=1.0)
+        dispatcher_.ask(make_request(1), 0.0)
+        assert granted_ids(dispatcher_.ask(make_request(2, repeat=True), 0.0)) == ["r2"]
+        decisions = dispatcher_.ask(make_request(3, repeat=True), 0.0)
         assert [d.code for d in decisions] == [codes.Code.RETRIES_USED_UP]
 
 
 class TestHealth:
-    """Servers that fail."""
-
-    def test_broken_server_is_left_alone_for_a_while(self):
-        """After a broken connection it gets one request at a time, later."""
-        one = made(server("a"))
-        one.ask(ask(1), 0.0)
-        one.ended(ids.RequestId("r1"), ids.Server("a"), asks.WorkEnd.BROKEN, 0.1)
-        assert one.ask(ask(2, now=0.1, target_s=3.0), 0.1) == []
-        assert grants(one.decide(0.6)) == ["r2"]
-        assert one.ask(ask(3, now=0.6), 0.6) == []
-
-    def test_failing_server_gets_less_than_a_sound_one(self):
-        """A server that answers with failures is used only when the others are full."""
-        one = made(server("a", slots=4), server("b", slots=4))
+    """Servers that fail, or are cold."""
+
+    def test_broken_server_is_paused(self):
+        """After a broken connection a server gets no requests, and later one at a time."""
+        dispatcher_ = make_dispatcher(offer("a"))
+        dispatcher_.ask(make_request(1), 0.0)
+        dispatcher_.ended(ids.RequestId("r1"), ids.Server("a"), asks.WorkEnd.BROKEN, 0.1)
+        assert dispatcher_.ask(make_request(2, now=0.1, target_s=3.0), 0.1) == []
+        assert granted_ids(dispatcher_.decide(0.6)) == ["r2"]
+        assert dispatcher_.ask(make_request(3, now=0.6), 0.6) == []
+
+    def test_healthy_server_is_preferred_to_a_failing_one(self):
+        """A server that answers with failures is not chosen while a healthy one is free."""
+        dispatcher_ = make_dispatcher(offer("a", slots=4), offer("b", slots=4))
         for number in range(8):
             name = ids.RequestId(f"x{number}")
-            one.hold(ask(f"x{number}"), ids.Server("a"), 0.0)
-            one.ended(ids.RequestId(f"rx{number}"), ids.Server("a"), asks.WorkEnd.FAILED, 0.1)
+            dispatcher_.hold(make_request(f"x{number}"), ids.Server("a"), 0.0)
+            dispatcher_.ended(
+                ids.RequestId(f"rx{number}"), ids.Server("a"), asks.WorkEnd.FAILED, 0.1
+            )
             assert name
-        first = one.ask(ask(1, now=0.2), 0.2)
+        first = dispatcher_.ask(make_request(1, now=0.2), 0.2)
         assert first[0].server == "b"
 
-    def test_cold_server_gets_no_more_than_its_rate(self):
-        """Over any second, a cold server gets its rate and the burst."""
-        one = made(server("a", slots=50, cold_until=10.0, cold_per_s=5.0))
+    def test_cold_server_stays_within_its_rate(self):
+        """Within any second, a cold server gets no more than its rate and the burst."""
+        dispatcher_ = make_dispatcher(offer("a", slots=50, cold_until=10.0, cold_rate=5.0))
         times = []
         for number in range(200):
             now = number * 0.02
-            for decision in one.ask(ask(number, now=now), now):
+            for decision in dispatcher_.ask(make_request(number, now=now), now):
                 if isinstance(decision, asks.SlotGrant):
                     times.append(now)
-                    one.ended(
+                    dispatcher_.ended(
                         decision.ask_id, decision.server, asks.WorkEnd.ANSWERED, now + 0.001
                     )
         most = max(sum(1 for t in times if start <= t < start + 1) for start in times)
         assert most <= 5 + 2 + 1
 
 
-class TestWarmth:
-    """Servers that had an object lately work faster on it."""
+class TestObjectAffinity:
+    """Servers work faster on objects that they handled recently."""
 
-    def test_object_returns_to_its_server(self):
-        """With slots free everywhere, the server that had the object gets it again."""
-        one = made(*[server(f"s{n}") for n in range(6)])
-        first = one.ask(ask(1, object_key="k"), 0.0)[0]
-        one.ended(first.ask_id, first.server, asks.WorkEnd.ANSWERED, 0.6)
+    def test_object_is_sent_to_the_same_server_again(self):
+        """While every server has free slots, the one that handled the object gets it again."""
+        dispatcher_ = make_dispatcher(*[offer(f"s{n}") for n in range(6)])
+        first = dispatcher_.ask(make_request(1, object_key="k"), 0.0)[0]
+        dispatcher_.ended(first.ask_id, first.server, asks.WorkEnd.ANSWERED, 0.6)
         for number in range(2, 8):
-            again = one.ask(ask(number, now=1.0, object_key="k"), 1.0)[0]
+            again = dispatcher_.ask(make_request(number, now=1.0, object_key="k"), 1.0)[0]
             assert again.server == first.server
-            one.ended(again.ask_id, again.server, asks.WorkEnd.ANSWERED, 1.2)
+            dispatcher_.ended(again.ask_id, again.server, asks.WorkEnd.ANSWERED, 1.2)
 
 
-class World:
-    """Replays a load on one dispatcher: servers, objects and arrivals from a seed.
+class LoadReplay:
+    """Simulates one dispatcher and its servers under random arrivals.
 
     Args:
-        seed: Seed of the load.
-        load: Arrivals, as a share of what the slots bear if all work is warm.
+        seed: Seed of the arrivals, objects and work times.
+        load: Arrival rate, as a share of the slots' capacity if every object is warm.
+        servers_: Number of servers.
+        slots: Slots of each server.
+        objects: Number of different objects.
+        length_s: Seconds during which requests arrive.
     """
 
     WARM_S, COLD_S, TARGET_S = 0.2, 0.6, 0.5
@@ -215,85 +227,89 @@
         self.rng = random.Random(seed)
         self.slots = servers_ * slots
         self.rate = load * self.slots / self.WARM_S
-        self.one = made(*[server(f"s{n}", slots=slots) for n in range(servers_)])
+        self.dispatcher = make_dispatcher(
+            *[offer(f"s{n}", slots=slots) for n in range(servers_)]
+        )
         self.objects = objects
         self.length_s = length_s
-        self.held = {f"s{n}": set() for n in range(servers_)}
-        self.busy = dict.fromkeys(self.held, 0)
-        self.most_busy = 0
+        self.warm_objects = {f"s{n}": set() for n in range(servers_)}
+        self.busy = dict.fromkeys(self.warm_objects, 0)
+        self.max_busy = 0
         self.in_time = self.late = self.refused = 0
-        self.refused_after = []
-        self.keys = {}
+        self.refusal_delays_s = []
+        self.object_keys = {}
 
-    def play(self):
-        """Play the load."""
+    def run(self):
+        """Run the simulation to its end and return it."""
         events, number, now = [], 0, 0.0
         while now < self.length_s:
             now += self.rng.expovariate(self.rate)
             heapq.heappush(events, (now, number, "arrive", None))
             number += 1
-        began = {}
+        arrived_at = {}
         while events:
-            now, key, what, server_ = heapq.heappop(events)
-            if what == "arrive":
-                began[f"r{key}"] = now
-                self.keys[f"r{key}"] = f"o{self.rng.randrange(self.objects)}"
-                decisions = self.one.ask(
-                    ask(
+            now, key, event, server_ = heapq.heappop(events)
+            if event == "arrive":
+                arrived_at[f"r{key}"] = now
+                self.object_keys[f"r{key}"] = f"o{self.rng.randrange(self.objects)}"
+                decisions = self.dispatcher.ask(
+                    make_request(
                         key,
                         now=now,
                         target_s=self.TARGET_S,
                         deadline_s=3.0,
-                        object_key=self.keys[f"r{key}"],
+                        object_key=self.object_keys[f"r{key}"],
                     ),
                     now,
                 )
             else:
                 self.busy[server_] -= 1
-                took = now - began[key]
-                self.in_time += took <= self.TARGET_S
-                self.late += took > self.TARGET_S
-                decisions = self.one.ended(
+                elapsed_s = now - arrived_at[key]
+                self.in_time += elapsed_s <= self.TARGET_S
+                self.late += elapsed_s > self.TARGET_S
+                decisions = self.dispatcher.ended(
                     ids.RequestId(key), ids.Server(server_), asks.WorkEnd.ANSWERED, now
                 )
             for decision in decisions:
                 if isinstance(decision, asks.SlotRefusal):
                     self.refused += 1
-                    self.refused_after.append(now - began[decision.ask_id])
+                    self.refusal_delays_s.append(now - arrived_at[decision.ask_id])
                     continue
                 name = decision.server
                 self.busy[name] += 1
-                self.most_busy = max(self.most_busy, self.busy[name])
-                key = self.keys[decision.ask_id]
-                warm = key in self.held[name]
-                self.held[name].add(key)
+                self.max_busy = max(self.max_busy, self.busy[name])
+                key = self.object_keys[decision.ask_id]
+                warm = key in self.warm_objects[name]
+                self.warm_objects[name].add(key)
                 work_s = (self.WARM_S if warm else self.COLD_S) * self.rng.uniform(0.8, 1.2)
                 heapq.heappush(events, (now + work_s, decision.ask_id, "end", name))
         return self
 
 
-class TestReplays:
-    """Whole load patterns."""
+class TestLoadReplays:
+    """Simulated loads."""
 
     @pytest.mark.parametrize("seed", [1, 2, 3])
-    def test_two_and_a_half_times_the_load(self, seed):
-        """Under heavy load, about as many are in time as the slots bear, and slots hold."""
-        world = World(seed, 2.5).play()
-        borne = world.slots / World.WARM_S * world.length_s
-        assert world.most_busy <= 4
-        assert world.in_time >= 0.85 * borne
-        assert world.late <= 0.1 * world.in_time
+    def test_overload_keeps_throughput_and_slots(self, seed):
+        """At 2.5 times the capacity, 85 % of it is served in time and no slot is used twice."""
+        replay = LoadReplay(seed, 2.5).run()
+        capacity = replay.slots / LoadReplay.WARM_S * replay.length_s
+        assert replay.max_busy <= 4
+        assert replay.in_time >= 0.85 * capacity
+        assert replay.late <= 0.1 * replay.in_time
 
     @pytest.mark.parametrize("seed", [1, 2, 3])
-    def test_refusals_come_early_under_load(self, seed):
-        """Most of what is refused is refused within an eighth of the target."""
-        world = World(seed, 2.5).play()
-        early = sum(1 for waited in world.refused_after if waited <= World.TARGET_S / 8)
-        assert early >= 0.9 * len(world.refused_after)
-
-    def test_calm_load_is_served_in_time(self):
-        """At half of the load nearly everything is in time, and nothing is refused."""
-        world = World(4, 0.5).play()
-        served = world.in_time + world.late
-        assert world.refused == 0
-        assert world.in_time >= 0.95 * served
+    def test_overload_refuses_early(self, seed):
+        """At 2.5 times the capacity, 90 % of refusals come within an eighth of the target."""
+        replay = LoadReplay(seed, 2.5).run()
+        early = sum(
+            1 for delay_s in replay.refusal_delays_s if delay_s <= LoadReplay.TARGET_S / 8
+        )
+        assert early >= 0.9 * len(replay.refusal_delays_s)
+
+    def test_half_load_is_served_in_time(self):
+        """At half of the capacity, 95 % of requests are in time and none is refused."""
+        replay = LoadReplay(4, 0.5).run()
+        served = replay.in_time + replay.late
+        assert replay.refused == 0
+        assert replay.in_time >= 0.95 * served
--- a/tests/test_joint_sums.py
+++ b/tests/test_joint_sums.py
@@ -1,4 +1,4 @@
-"""Bounds that hold for all instances together, while their views of each other are wrong."""
+"""Limits on the sum over all instances, tested while network partitions come and go."""
 
 import collections
 import os
@@ -12,25 +12,25 @@
 from carobhook.transport import slot_shards
 
 COLD_PER_S = 5.0
-# Requests in one second that a cold server may get: 1.5 times its rate, and 5.
-COLD_MOST = 1.5 * COLD_PER_S + 5.0
+# Requests that a cold server may get within one second: 1.5 times its rate plus 5.
+MAX_COLD_PER_S = 1.5 * COLD_PER_S + 5.0
 STEPS = 120
-HISTORIES = int(os.environ.get("CAROBHOOK_HISTORIES", "30"))
+SIMULATIONS = int(os.environ.get("CAROBHOOK_HISTORIES", "30"))
 
 
-class History(desks.Deployment):
-    """Desks of one region with two cold servers, whose views a seed disturbs.
+class PartitionSimulation(desks.Deployment):
+    """Simulates four instances of one region with two cold servers and random partitions.
 
     Args:
-        seed: Seed of the history.
-        parts: Most sets of instances that are cut off from each other at one time.
+        seed: Seed of the requests and the partitions.
+        max_partitions: Largest number of partitions at one time.
     """
 
-    def __init__(self, seed, parts):
+    def __init__(self, seed, max_partitions):
         super().__init__("a", "b", "c", "d", slots=40)
         self.rng = random.Random(seed)
-        self.parts = parts
-        self.sent = collections.defaultdict(list)
+        self.max_partitions = max_partitions
+        self.sent_at = collections.defaultdict(list)
         for desk in self.desks.values():
             known = desk._known
             known.offer_config(
@@ -48,16 +48,19 @@
                 entry = known.servers(0.0)[0].entry
                 known.put(attrs.evolve(entry, name=ids.Server(name), cold_s=1000.0), 0.0)
             desk.servers_changed()
-        self.number = 0
-        self.repeated = 0.0
-        self.again, self.firsts, self.repeats = set(), [], []
+        self.request_count = 0
+        self.retry_share = 0.0
+        self.retry_ids, self.request_times, self.retry_times = set(), [], []
 
-    def split(self):
-        """Cut the instances into parts, which notice one after the other, or heal the cut."""
+    def repartition(self):
+        """Partition the instances at random, or heal the partition.
+
+        The instances notice the change one after the other.
+        """
         names = list(self.desks)
-        parts = self.rng.randint(1, self.parts)
-        part_of = {name: self.rng.randrange(parts) for name in names}
-        self.cut = {(x, y) for x in names for y in names if part_of[x] != part_of[y]}
+        partitions = self.rng.randint(1, self.max_partitions)
+        partition_of = {name: self.rng.randrange(partitions) for name in names}
+        self.cut = {(x, y) for x in names for y in names if partition_of[x] != partition_of[y]}
         self.rng.shuffle(names)
         for name in names:
             self.clock.advance(self.rng.uniform(0.0, 0.3))
@@ -68,45 +71,45 @@
                 else:
                     self.rosters[name].heard(desks.member(other), self.clock.seconds())
             self.desks[name].members_changed()
-            self.ask_some(3)
+            self.send_requests(3)
 
-    def ask_some(self, count):
-        """Let requests come in at any instances."""
+    def send_requests(self, count):
+        """Send slot requests from random instances."""
         for _ in range(count):
-            self.number += 1
+            self.request_count += 1
             name = self.rng.choice(list(self.desks))
             now = self.clock.seconds()
-            wish = asks.Ask(
-                ids.RequestId(f"{name}-{self.number}"),
+            request = asks.Ask(
+                ids.RequestId(f"{name}-{self.request_count}"),
                 desks.SERVICE,
                 "route",
                 None,
                 1,
                 now + 0.6,
                 now + 2.0,
-                repeat=self.rng.random() < self.repeated,
+                repeat=self.rng.random() < self.retry_share,
             )
-            if wish.repeat:
-                self.again.add(wish.id)
+            if request.repeat:
+                self.retry_ids.add(request.id)
             else:
-                self.firsts.append(now)
-            answered = self.desks[name].ask(wish, desks.NORTH)
-            answered.addCallbacks(self.granted, lambda _: None)
+                self.request_times.append(now)
+            deferred = self.desks[name].ask(request, desks.NORTH)
+            deferred.addCallbacks(self.record_grant, lambda _: None)
 
-    def granted(self, decision):
-        """Note when a request goes to a server, and end it a little later."""
+    def record_grant(self, decision):
+        """Record the time of a grant, and release its slot 0.2 seconds later."""
         if not isinstance(decision, asks.SlotGrant):
             return
-        if decision.ask_id in self.again:
-            self.repeats.append(self.clock.seconds())
-        self.sent[decision.server].append(self.clock.seconds())
+        if decision.ask_id in self.retry_ids:
+            self.retry_times.append(self.clock.seconds())
+        self.sent_at[decision.server].append(self.clock.seconds())
         name = decision.ask_id.split("-")[0]
         self.clock.callLater(
             0.2, self.desks[name].ended, decision.ask_id, asks.WorkEnd.ANSWERED
         )
 
-    def beat(self):
-        """Let those that reach each other hear each other."""
+    def exchange_heartbeats(self):
+        """Deliver heartbeats within each partition, and run the periodic work."""
         now = self.clock.seconds()
         for name, roster in self.rosters.items():
             for other in self.rosters:
@@ -115,58 +118,62 @@
         for desk in self.desks.values():
             desk.tick()
 
-    def play(self):
-        """Play the history; return the most requests that a server got within one second."""
+    def run(self):
+        """Run the simulation; return the most requests that a server got within one second."""
         for _ in range(STEPS):
             self.clock.advance(0.1)
-            self.beat()
-            self.ask_some(self.rng.randint(0, 6))
+            self.exchange_heartbeats()
+            self.send_requests(self.rng.randint(0, 6))
             if self.rng.random() < 0.06:
-                self.split()
+                self.repartition()
         most = 0
-        for times in self.sent.values():
+        for times in self.sent_at.values():
             for start in times:
                 most = max(most, sum(start <= at < start + 1.0 for at in times))
         return most
 
 
-class TestRepeats:
-    """Repeats of a service's requests within a window, from all instances."""
+class TestRetries:
+    """Retries of a service's requests within a window, from all instances."""
 
-    def test_any_cut_keeps_the_budget(self):
-        """While most sends would be repeats, their share and number hold."""
-        for seed in range(HISTORIES // 10):
-            one = History(seed, 4)
-            for known in (desk._known for desk in one.desks.values()):
+    def test_partitions_keep_the_retry_budget(self):
+        """When 80 % of all requests are retries, the budget holds in every window."""
+        for seed in range(SIMULATIONS // 10):
+            simulation = PartitionSimulation(seed, 4)
+            for known in (desk._known for desk in simulation.desks.values()):
                 for view in known.servers(0.0):
                     known.put(attrs.evolve(view.entry, cold_s=0.0, started_at_ms=2), 0.0)
-            one.repeated = 0.8
+            simulation.retry_share = 0.8
             for _ in range(250):
-                one.clock.advance(0.1)
-                one.beat()
-                one.ask_some(12)
-                if one.rng.random() < 0.04:
-                    one.split()
+                simulation.clock.advance(0.1)
+                simulation.exchange_heartbeats()
+                simulation.send_requests(12)
+                if simulation.rng.random() < 0.04:
+                    simulation.repartition()
             window_s = desks.BOUNDS.budget_window_s
-            # An instance gives its desk this part of the agreed bounds.
+            # Instances apply only this share of the agreed limits; dividing restores those.
             slack = desks.BOUNDS.budget_slack / slot_shards.BOUND_MARGIN
             ratio = desks.BOUNDS.budget_ratio / slot_shards.BOUND_MARGIN
-            for start in one.repeats:
-                repeats = sum(start <= at < start + window_s for at in one.repeats)
-                before = sum(start - window_s <= at < start + window_s for at in one.firsts)
-                assert repeats <= ratio * before + slack, seed
+            for start in simulation.retry_times:
+                retries = sum(start <= at < start + window_s for at in simulation.retry_times)
+                requests = sum(
+                    start - window_s <= at < start + window_s for at in simulation.request_times
+                )
+                assert retries <= ratio * requests + slack, seed
 
 
 class TestColdServers:
     """Requests that a cold server gets within one second, from all instances."""
 
-    def test_takeovers_keep_the_bound(self):
-        """While instances lose and find each other in two parts, the bound holds."""
-        worst = max(History(seed, 2).play() for seed in range(HISTORIES))
-        assert worst <= COLD_MOST
+    def test_two_partitions_keep_the_cold_rate(self):
+        """The limit holds while two partitions form and heal."""
+        worst = max(PartitionSimulation(seed, 2).run() for seed in range(SIMULATIONS))
+        assert worst <= MAX_COLD_PER_S
 
-    @pytest.mark.parametrize("parts", [3, 4])
-    def test_any_cut_keeps_the_bound(self, parts):
-        """Also when every instance is cut off from every other."""
-        worst = max(History(seed, parts).play() for seed in range(HISTORIES))
-        assert worst <= COLD_MOST
+    @pytest.mark.parametrize("max_partitions", [3, 4])
+    def test_many_partitions_keep_the_cold_rate(self, max_partitions):
+        """The limit also holds with more partitions, up to one for each instance."""
+        worst = max(
+            PartitionSimulation(seed, max_partitions).run() for seed in range(SIMULATIONS)
+        )
+        assert worst <= MAX_COLD_PER_S
--- a/tests/test_retry_allowance.py
+++ b/tests/test_retry_allowance.py
@@ -7,20 +7,20 @@
 
 
 class TestRetryAllowance:
-    """Repeats in a window."""
+    """Retries within a window."""
 
     @hypothesis.given(st.lists(st.tuples(st.floats(0.0, 0.3), st.booleans()), max_size=400))
-    def test_the_bound_holds_in_every_window(self, steps):
-        """No window sees more repeats than the share of the requests before and the slack."""
-        one = retry_allowance.RetryAllowance(0.2, 3.0, 5.0)
-        now, sends, repeats = 0.0, [], []
-        for gap_s, is_repeat in steps:
+    def test_limit_holds_in_every_window(self, steps):
+        """No window has more retries than the share of recent requests plus the slack."""
+        allowance = retry_allowance.RetryAllowance(0.2, 3.0, 5.0)
+        now, request_times, retry_times = 0.0, [], []
+        for gap_s, is_retry in steps:
             now += gap_s
-            if not is_repeat:
-                one.count_request(now)
-                sends.append(now)
-            elif one.take(now):
-                repeats.append(now)
-                counted = sum(1 for at in sends if at > now - 5.5)
-                window = sum(1 for at in repeats if at > now - 5.0)
-                assert window <= 0.2 * counted + 3.0 + 1e-9
+            if not is_retry:
+                allowance.count_request(now)
+                request_times.append(now)
+            elif allowance.take(now):
+                retry_times.append(now)
+                requests = sum(1 for at in request_times if at > now - 5.5)
+                retries = sum(1 for at in retry_times if at > now - 5.0)
+                assert retries <= 0.2 * requests + 3.0 + 1e-9
--- a/tests/test_slot_loans.py
+++ b/tests/test_slot_loans.py
@@ -25,32 +25,32 @@
 
 
 class TestWantedLoans:
-    """What regions lend."""
+    """Target loans between regions."""
 
-    def test_region_without_room_gets_slots_of_one_with_room(self):
-        """Demand above the own servers is covered by others."""
+    def test_overloaded_region_borrows_from_regions_with_spare_slots(self):
+        """Demand that exceeds a region's own slots is covered by the other regions."""
         loads = {A: load(8, 16), B: load(60, 8), C: load(60, 8)}
         lent = slot_loans.wanted_loans(B, loads)[A] + slot_loans.wanted_loans(C, loads)[A]
         assert lent + 8 >= 16
 
-    def test_nothing_moves_while_all_have_room(self):
-        """Regions that can do their own work lend nothing."""
+    def test_no_loans_while_every_region_has_enough_slots(self):
+        """Regions whose own slots are enough for their demand lend nothing."""
         loads = {A: load(40, 4), B: load(40, 4), C: load(40, 4)}
         assert slot_loans.wanted_loans(A, loads) == {}
 
-    def test_all_get_the_same_share_when_there_is_not_enough(self):
-        """Under overload no region is served better for standing beside more servers."""
+    def test_overloaded_regions_get_equal_shares(self):
+        """Under overload, a region with more servers of its own gets no more slots."""
         loads = {A: load(10, 100), B: load(50, 100), C: load(60, 100)}
-        got = {region: loads[region].slots for region in loads}
+        slots_after_loans = {region: loads[region].slots for region in loads}
         for lender in loads:
             for borrower, count in slot_loans.wanted_loans(lender, loads).items():
-                got[lender] -= count
-                got[borrower] += count
-        assert max(got.values()) - min(got.values()) < 1.0
+                slots_after_loans[lender] -= count
+                slots_after_loans[borrower] += count
+        assert max(slots_after_loans.values()) - min(slots_after_loans.values()) < 1.0
 
     @hypothesis.given(LOADS)
-    def test_no_region_lends_what_it_needs(self, loads):
-        """Loans never exceed the lender's slots, nor the borrowers' lack."""
+    def test_loans_do_not_exceed_the_lenders_slots(self, loads):
+        """A region never lends more slots than it has, nor to itself."""
         for lender in loads:
             lent = slot_loans.wanted_loans(lender, loads)
             assert sum(lent.values()) <= loads[lender].slots + 1e-6
@@ -58,49 +58,49 @@
 
 
 class TestLoanBook:
-    """Loans move in steps."""
+    """Loans change in limited steps."""
 
-    def test_demand_that_jumps_moves_loans_by_the_step(self):
-        """One update moves a bounded share of the borrower's demand."""
-        book = slot_loans.LoanBook(0.05)
+    def test_loan_changes_by_one_step_per_update(self):
+        """One update changes a loan by no more than a share of the borrower's demand."""
+        controller = slot_loans.LoanBook(0.05)
         loads = {A: load(0, 100), B: load(200, 10)}
-        book.update({A: 120.0}, loads)
-        assert book.lent == {A: 5}
-        book.update({A: 120.0}, loads)
-        assert book.lent == {A: 10}
+        controller.update({A: 120.0}, loads)
+        assert controller.lent == {A: 5}
+        controller.update({A: 120.0}, loads)
+        assert controller.lent == {A: 10}
 
-    def test_before_any_request_loans_are_there_at_once(self):
-        """Nothing moves that has not come yet, so equal parts are lent at the start."""
-        book = slot_loans.LoanBook(0.05)
-        book.update({A: 20.0}, {A: load(0, None), B: load(60, None)})
-        assert book.lent == {A: 20}
+    def test_initial_loans_are_not_limited(self):
+        """Before any request there is no load to shift, so equal shares are lent at once."""
+        controller = slot_loans.LoanBook(0.05)
+        controller.update({A: 20.0}, {A: load(0, None), B: load(60, None)})
+        assert controller.lent == {A: 20}
 
-    def test_loans_to_a_silent_region_end(self):
-        """A region that is not heard any more keeps nothing."""
-        book = slot_loans.LoanBook(0.05)
-        book.update({A: 20.0}, {A: load(0, None), B: load(60, None)})
-        book.update({}, {B: load(60, None)})
-        assert book.lent == {}
+    def test_loan_to_a_region_without_reports_ends(self):
+        """A region that no longer reports its load keeps no loan."""
+        controller = slot_loans.LoanBook(0.05)
+        controller.update({A: 20.0}, {A: load(0, None), B: load(60, None)})
+        controller.update({}, {B: load(60, None)})
+        assert controller.lent == {}
 
 
 class TestPlaceLoans:
-    """Which servers' slots are lent."""
+    """Choice of the servers whose slots are lent."""
 
-    def test_a_slot_is_lent_once(self):
-        """Two regions never get the same slot, and loans stay where they were."""
+    def test_slot_is_lent_once_and_stays_lent(self):
+        """Two regions never get the same slot, and existing loans keep their servers."""
         slots = {ids.Server("x"): 3, ids.Server("y"): 3}
         first = slot_loans.place_loans({A: 2, C: 3}, slots, {})
         for name in slots:
-            assert sum(held.get(name, 0) for held in first.values()) <= 3
+            assert sum(loaned.get(name, 0) for loaned in first.values()) <= 3
         again = slot_loans.place_loans({A: 2, C: 3}, slots, first)
         assert again == first
 
 
 class TestRecalledSlots:
-    """Slots on their way back."""
+    """Slots that were taken back from a borrower."""
 
-    def test_recalled_slot_is_given_out_by_nobody_for_a_moment(self):
-        """The borrower may still use it until it has heard of the change."""
+    def test_recalled_slot_is_held_back(self):
+        """The borrower may still use a recalled slot until it learns of the change."""
         x = ids.Server("x")
         recalled = slot_loans.RecalledSlots()
         recalled.recall({A: {x: 3}}, {A: {x: 1}, C: {x: 1}}, 10.0)
@@ -110,8 +110,8 @@
         recalled.forget(11.0)
         assert recalled.counts == {}
 
-    def test_loan_that_grows_recalls_nothing(self):
-        """Only what is taken back is held."""
+    def test_larger_loan_recalls_nothing(self):
+        """Only slots that are taken back are held back."""
         x = ids.Server("x")
         recalled = slot_loans.RecalledSlots()
         recalled.recall({A: {x: 1}}, {A: {x: 3}}, 0.0)
--- a/tests/test_token_bucket.py
+++ b/tests/test_token_bucket.py
@@ -6,9 +6,9 @@
 
 
 class TestTokenBucket:
-    """A rate with a burst."""
+    """A rate limit with a burst."""
 
-    def test_burst_then_rate(self):
+    def test_burst_is_followed_by_the_rate(self):
         """A full bucket gives its burst at once, then one token every 1/rate seconds."""
         bucket = token_bucket.TokenBucket(rate=10, burst=3)
 
@@ -19,8 +19,8 @@
         assert not bucket.take(5.05)
         assert bucket.take(5.15)
 
-    def test_idle_time_fills_no_more_than_the_burst(self):
-        """A long pause does not save up more than the burst."""
+    def test_idle_time_gains_no_more_than_the_burst(self):
+        """After a long idle time the bucket holds the burst and no more."""
         bucket = token_bucket.TokenBucket(rate=10, burst=2)
         bucket.take(0.0)
 
@@ -28,8 +28,8 @@
 
         assert taken == [True, True, False]
 
-    def test_time_that_goes_back_gives_nothing(self):
-        """An earlier time than before adds no tokens."""
+    def test_earlier_time_gains_no_tokens(self):
+        """A clock that goes backwards adds no tokens."""
         bucket = token_bucket.TokenBucket(rate=1, burst=1)
         bucket.take(10.0)
 
