--- a/src/carobhook/coordination/dispatcher.py
+++ b/src/carobhook/coordination/dispatcher.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from carobhook.coordination import retry_allowance, server_pool, work_times
+from carobhook.coordination import retry_budget, server_pool, work_times
 from carobhook.state import asks, codes, ids
 
 Decision = asks.SlotGrant | asks.SlotRefusal
@@ -75,14 +75,14 @@
     """Queue and servers of one service in one region; decides which request gets which server.
 
     Args:
-        allowance: Limits retries.
+        retry_budget: Limits retries.
 
     Attributes:
         paused: Whether all requests are queued, even if slots appear free, because not every
             slot in use has been reported yet.
     """
 
-    allowance: retry_allowance.RetryAllowance
+    retry_budget: retry_budget.RetryBudget
     paused: bool = attrs.field(default=False, init=False)
     pool: server_pool.ServerPool = attrs.field(factory=server_pool.ServerPool, init=False)
     _times: work_times.WorkTimes = attrs.field(factory=work_times.WorkTimes, init=False)
@@ -91,16 +91,16 @@
     _reserved_s: dict[ids.Server, float] = attrs.field(factory=dict, init=False)
 
     @property
-    def waiting(self) -> int:
+    def queue_length(self) -> int:
         """Return the number of queued requests."""
         return len(self._queue)
 
-    def take_demand(self) -> float:
+    def collect_demand(self) -> float:
         """Return the slot-seconds requested since the last call, and reset the count."""
         demand, self._demand_s = self._demand_s, 0.0
         return demand
 
-    def ask(self, request: asks.Ask, now: float) -> list[Decision]:
+    def submit(self, request: asks.Ask, now: float) -> list[Decision]:
         """Refuse or queue a request; return all decisions that can be made now.
 
         Args:
@@ -109,10 +109,10 @@
         """
         expected_work_s = self._estimate_work_s(request)
         if request.repeat:
-            if not self.allowance.take(now):
+            if not self.retry_budget.try_consume(now):
                 return [self._refusal(request, codes.Code.RETRIES_USED_UP, now)]
         else:
-            self.allowance.count_request(now)
+            self.retry_budget.count_request(now)
             self._demand_s += expected_work_s
         queued = _QueuedRequest(request, now, expected_work_s, late=False)
         queued.late = self._will_miss_target(queued, now)
@@ -130,19 +130,19 @@
                 return True
         return False
 
-    def take_waiting(self) -> list[asks.Ask]:
+    def clear_queue(self) -> list[asks.Ask]:
         """Remove all requests from the queue and return them."""
         removed = [queued.request for queued in self._queue]
         self._queue.clear()
         return removed
 
-    def hold(self, request: asks.Ask, server: ids.Server, now: float) -> None:
+    def register_running(self, request: asks.Ask, server: ids.Server, now: float) -> None:
         """Count a request that the shard's previous dispatcher granted a slot."""
         pooled = self.pool.get(server)
         if pooled is not None and request.id not in pooled.running:
             pooled.start(request, self._estimate_work_s(request) * pooled.slowness(now), now)
 
-    def ended(
+    def release_slot(
         self, request_id: ids.RequestId, server: ids.Server, outcome: asks.WorkEnd, now: float
     ) -> list[Decision]:
         """Free the slot of a finished request; return all decisions that can be made now.
@@ -156,11 +156,11 @@
         pooled = self.pool.get(server)
         run = pooled.running.pop(request_id, None) if pooled is not None else None
         if pooled is not None and run is not None:
-            has_samples = self._times.seen(run.route, run.depth)
+            has_samples = self._times.has_samples(run.route, run.depth)
             if outcome is asks.WorkEnd.ANSWERED:
                 elapsed_s = now - run.started_at
                 self._times.observe(run.route, run.depth, elapsed_s / pooled.slowness(now))
-            pooled.ended(run, outcome, now, has_samples)
+            pooled.record_outcome(run, outcome, now, has_samples)
         return self.decide(now)
 
     def decide(self, now: float) -> list[Decision]:
@@ -181,11 +181,11 @@
         free = [
             server
             for server in self.pool.servers
-            if server.free(now) > 0 and server.admits(now)
+            if server.free_slots(now) > 0 and server.cold_rate_allows(now)
         ]
         for queued in self._queue:
-            candidate = self._choose_server(queued, free, now) if free else None
-            if candidate is None:
+            chosen = self._choose_server(queued, free, now) if free else None
+            if chosen is None:
                 others_in_time = bool(remaining) and not remaining[0].late
                 if queued.late and self._should_drop(queued, others_in_time, now):
                     decisions.append(
@@ -194,9 +194,9 @@
                 else:
                     remaining.append(queued)
                 continue
-            decisions.append(self._grant(queued, candidate, now))
-            if candidate.server.free(now) <= 0 or not candidate.server.admits(now):
-                free.remove(candidate.server)
+            decisions.append(self._grant(queued, chosen, now))
+            if chosen.server.free_slots(now) <= 0 or not chosen.server.cold_rate_allows(now):
+                free.remove(chosen.server)
         self._queue = remaining
         return decisions
 
@@ -205,10 +205,10 @@
         key = work_times.object_key(request.route, request.object_key)
         depth: int | None = None
         if key is not None:
-            depths = [server.objects.depth(key) for server in self.pool.holders(key)]
+            depths = [server.recent_objects.depth(key) for server in self.pool.holders(key)]
             known = [found for found in depths if found is not None]
             depth = min(known) if known else None
-        return self._times.expected(request.route, depth, _DEFAULT_WORK_S)
+        return self._times.estimate_s(request.route, depth, _DEFAULT_WORK_S)
 
     def _refuse_on_arrival(self, queued: _QueuedRequest, now: float) -> asks.SlotRefusal | None:
         """Return a refusal if the expected wait is too long for the request, else None."""
@@ -216,7 +216,7 @@
         usable = [s for s in self.pool.servers if _is_eligible(s, request)]
         if not usable:
             return self._refusal(request, codes.Code.NO_BACKEND, now)
-        if any(server.free(now) and server.admits(now) for server in usable):
+        if any(server.free_slots(now) and server.cold_rate_allows(now) for server in usable):
             return None
         ahead = [other for other in self._queue if other.sort_key <= queued.sort_key]
         wait_s = self._expected_wait_s(ahead, usable, now)
@@ -239,7 +239,7 @@
         now: float,
     ) -> float:
         """Return the expected seconds until a slot is free after the requests ahead."""
-        slots = sum(max(0, server.slots - server.lent) for server in usable)
+        slots = sum(max(0, server.slots - server.unavailable_slots) for server in usable)
         if slots <= 0:
             return math.inf
         first_s = min(server.next_free_s(now) for server in usable)
@@ -247,7 +247,7 @@
 
     def _high_work_s(self, queued: _QueuedRequest) -> float:
         """Return a work time in seconds that few requests of this kind exceed."""
-        return queued.expected_work_s * self._times.spread(queued.request.route)
+        return queued.expected_work_s * self._times.high_ratio(queued.request.route)
 
     def _will_miss_target(self, queued: _QueuedRequest, now: float) -> bool:
         """Return whether the request may miss its target even if it starts now."""
@@ -287,7 +287,7 @@
                     self._health_penalty(s, now),
                     s.view.entry.zone != request.domain,
                     len(s.running) / max(1, s.slots),
-                    len(s.objects),
+                    len(s.recent_objects),
                     s.name,
                 ),
             )
@@ -300,7 +300,7 @@
         # The best server is busy. Wait for it if the answer will still be in time; otherwise
         # use a free server. A free server that would answer late is used only while no other
         # queued request needs the slot.
-        high_ratio = self._times.spread(request.route)
+        high_ratio = self._times.high_ratio(request.route)
         if now + best.wait_s + best.work_s * high_ratio <= request.target_at:
             self._reserve(best)
             return None
@@ -325,10 +325,10 @@
         now: float,
     ) -> _Candidate:
         """Return the expected times and the cost of running a request on a server."""
-        depth = server.objects.depth(key) if key is not None else None
-        work_s = self._times.expected(request.route, depth, _DEFAULT_WORK_S)
+        depth = server.recent_objects.depth(key) if key is not None else None
+        work_s = self._times.estimate_s(request.route, depth, _DEFAULT_WORK_S)
         work_s *= server.slowness(now)
-        is_free = server.free(now) > 0 and server.admits(now)
+        is_free = server.free_slots(now) > 0 and server.cold_rate_allows(now)
         reserved_s = self._reserved_s.get(server.name, 0.0) / max(1, server.slots)
         wait_s = 0.0 if is_free else max(0.005, server.next_free_s(now)) + reserved_s
         queue_ratio = min(1.0, len(self._queue) / max(1, self.pool.slots))
@@ -352,7 +352,7 @@
         server.start(request, candidate.work_s, now)
         key = work_times.object_key(request.route, request.object_key)
         if key is not None:
-            self.pool.touched(server, key)
+            self.pool.record_object(server, key)
         return asks.SlotGrant(
             request.id, server.name, server.view.entry.address, candidate.work_s
         )
--- a/src/carobhook/coordination/intake.py
+++ b/src/carobhook/coordination/intake.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from carobhook.coordination import refusals, smooth_choice, steering
+from carobhook.coordination import refusals, smooth_round_robin, steering
 from carobhook.protocol import own_calls
 from carobhook.state import codes, ids, routing
 
@@ -54,8 +54,8 @@
 
     region: ids.Region
     orders: steering.Steering
-    _choice: smooth_choice.SmoothChoice[ids.Service] = attrs.field(
-        factory=smooth_choice.SmoothChoice, init=False
+    _choice: smooth_round_robin.SmoothRoundRobin[ids.Service] = attrs.field(
+        factory=smooth_round_robin.SmoothRoundRobin, init=False
     )
     _longest_s: dict[str, float] = attrs.field(factory=dict, init=False)
 
--- a/src/carobhook/coordination/retry_allowance.py
+++ b/src/carobhook/coordination/retry_budget.py
@@ -34,7 +34,7 @@
 
 
 @attrs.define
-class RetryAllowance:
+class RetryBudget:
     """Limits retries to a share of a service's requests plus a fixed number per window.
 
     Load pattern: many servers fail at once and every request would be sent twice, which doubles
@@ -71,7 +71,7 @@
         """
         self._requests.add(now)
 
-    def take(self, now: float) -> bool:
+    def try_consume(self, now: float) -> bool:
         """Count a retry if the budget allows it; return whether it does.
 
         Args:
--- a/src/carobhook/coordination/server_pool.py
+++ b/src/carobhook/coordination/server_pool.py
@@ -23,7 +23,7 @@
 _COLD_BURST = 2.0
 
 
-def shared_cold_rate(configured_per_s: float, max_per_s: float, visible: float) -> float:
+def cold_rate_limit(configured_per_s: float, max_per_s: float, visible: float) -> float:
     """Return the rate at which one dispatcher may send requests to a cold server.
 
     Load pattern: the instances are partitioned while a server is cold, and each partition runs
@@ -57,7 +57,7 @@
 
 
 @attrs.frozen
-class Running:
+class RunningRequest:
     """A request that occupies a slot.
 
     Attributes:
@@ -85,20 +85,20 @@
         slots: Slots assigned to this pool.
         cold_bucket: Limits requests while the server is cold; None for no limit.
         running: Requests that occupy a slot, by id.
-        objects: Objects that it was recently sent requests for.
-        lent: Slots of these that must stay free here, because other regions may use them or an
-            order withholds them.
+        recent_objects: Objects that it was recently sent requests for.
+        unavailable_slots: Slots of these that must stay free here, because other regions may
+            use them or an order withholds them.
     """
 
     view: catalog.ServerView
     region: ids.Region
     slots: int
     cold_bucket: token_bucket.TokenBucket | None = None
-    running: dict[ids.RequestId, Running] = attrs.field(factory=dict, init=False)
-    objects: work_times.RecentObjects = attrs.field(
+    running: dict[ids.RequestId, RunningRequest] = attrs.field(factory=dict, init=False)
+    recent_objects: work_times.RecentObjects = attrs.field(
         factory=work_times.RecentObjects, init=False
     )
-    lent: int = attrs.field(default=0, init=False)
+    unavailable_slots: int = attrs.field(default=0, init=False)
     _consecutive_failures: int = attrs.field(default=0, init=False)
     _paused_until: float = attrs.field(default=-math.inf, init=False)
     _failure_share: float = attrs.field(default=0.0, init=False)
@@ -116,11 +116,11 @@
         return self._failure_share
 
     @property
-    def doubtful(self) -> bool:
+    def is_suspect(self) -> bool:
         """Return whether it failed to answer and has not answered since."""
         return self._consecutive_failures > 0
 
-    def take(self, offer: ServerOffer, now: float) -> None:
+    def update(self, offer: ServerOffer, now: float) -> None:
         """Update the store entry, the slots and the cold rate.
 
         Args:
@@ -134,10 +134,10 @@
         if self.cold_bucket is None:
             self.cold_bucket = token_bucket.TokenBucket(offer.cold_rate, _COLD_BURST)
             # Another dispatcher may have used the burst a moment ago.
-            self.cold_bucket.empty(now)
+            self.cold_bucket.clear(now)
         self.cold_bucket.rate = offer.cold_rate
 
-    def free(self, now: float) -> int:
+    def free_slots(self, now: float) -> int:
         """Return the number of free slots.
 
         A paused server has none. After a failure, a server has one slot until it answers.
@@ -147,10 +147,10 @@
         """
         if now < self._paused_until:
             return 0
-        slots = 1 if self._consecutive_failures else self.slots - self.lent
+        slots = 1 if self._consecutive_failures else self.slots - self.unavailable_slots
         return max(0, slots - len(self.running))
 
-    def admits(self, now: float) -> bool:
+    def cold_rate_allows(self, now: float) -> bool:
         """Return whether the cold rate allows one more request, without counting one."""
         if self.cold_bucket is None or now >= self.view.cold_until:
             return True
@@ -174,17 +174,17 @@
         key = work_times.object_key(request.route, request.object_key)
         depth = None
         if key is not None:
-            depth = self.objects.depth(key)
-            self.objects.touch(key)
-        self.running[request.id] = Running(
+            depth = self.recent_objects.depth(key)
+            self.recent_objects.touch(key)
+        self.running[request.id] = RunningRequest(
             request.route, depth, now, expected_s, self.slowness(now)
         )
         if self.cold_bucket is not None and now < self.view.cold_until:
-            self.cold_bucket.take(now)
+            self.cold_bucket.try_consume(now)
         return depth
 
-    def ended(
-        self, run: Running, outcome: asks.WorkEnd, now: float, has_samples: bool = True
+    def record_outcome(
+        self, run: RunningRequest, outcome: asks.WorkEnd, now: float, has_samples: bool = True
     ) -> None:
         """Update health and slowness from the outcome of a request.
 
@@ -206,7 +206,7 @@
                 )
                 self._paused_until = now + pause_s
             if outcome is asks.WorkEnd.UNREACHABLE:
-                self.objects.clear()
+                self.recent_objects.clear()
             return
         self._consecutive_failures = 0
         if outcome is asks.WorkEnd.MISDIRECTED:
@@ -249,7 +249,9 @@
     @property
     def slots(self) -> int:
         """Return the number of slots that this pool may use."""
-        return sum(max(0, server.slots - server.lent) for server in self._servers.values())
+        return sum(
+            max(0, server.slots - server.unavailable_slots) for server in self._servers.values()
+        )
 
     @property
     def running(self) -> int:
@@ -264,7 +266,7 @@
         names = self._holders.get(key, ())
         return [self._servers[name] for name in names if name in self._servers]
 
-    def touched(self, server: PooledServer, key: str) -> None:
+    def record_object(self, server: PooledServer, key: str) -> None:
         """Record that a server was sent a request for an object."""
         self._holders.setdefault(key, set()).add(server.name)
         # Entries of objects that servers no longer list remain until the index is rebuilt.
@@ -274,7 +276,7 @@
     def _rebuild_holders(self) -> None:
         self._holders.clear()
         for server in self._servers.values():
-            for key in server.objects:
+            for key in server.recent_objects:
                 self._holders.setdefault(key, set()).add(server.name)
 
     def replace(self, offers: Iterable[ServerOffer], now: float) -> None:
@@ -291,18 +293,18 @@
             pooled = self._servers.get(offer.view.entry.name)
             if pooled is None or _restarted(pooled.view, offer.view):
                 pooled = PooledServer(offer.view, offer.region, offer.slots)
-            pooled.take(offer, now)
+            pooled.update(offer, now)
             servers[pooled.name] = pooled
         self._servers = servers
 
-    def lend(self, counts: Mapping[ids.Server, int]) -> None:
+    def set_unavailable_slots(self, counts: Mapping[ids.Server, int]) -> None:
         """Set how many slots of each server must stay free here.
 
         Args:
             counts: Slots by server; 0 for servers that are missing.
         """
         for server in self._servers.values():
-            server.lent = counts.get(server.name, 0)
+            server.unavailable_slots = counts.get(server.name, 0)
 
 
 def _restarted(old: catalog.ServerView, new: catalog.ServerView) -> bool:
--- a/src/carobhook/coordination/slot_loans.py
+++ b/src/carobhook/coordination/slot_loans.py
@@ -38,7 +38,7 @@
     demand: float | None
 
 
-def wanted_loans(
+def target_loans(
     own: ids.Region, loads: Mapping[ids.Region, RegionLoad]
 ) -> dict[ids.Region, float]:
     """Return how many slots a region should lend to each other region.
@@ -74,7 +74,7 @@
 
 
 @attrs.define
-class LoanBook:
+class LoanController:
     """Moves the whole slots that a region lends toward their targets in limited steps.
 
     Attributes:
@@ -99,7 +99,7 @@
         requests move with it.
 
         Args:
-            targets: Result of `wanted_loans`.
+            targets: Result of `target_loans`.
             loads: Loads of the regions with a recent report; loans to others end.
         """
         updated: dict[ids.Region, int] = {}
@@ -137,7 +137,7 @@
             counts[server] = counts.get(server, 0) + count
         return counts
 
-    def of(self, server: ids.Server) -> int:
+    def count(self, server: ids.Server) -> int:
         """Return the number of slots of one server that must not be granted yet."""
         return self.counts.get(server, 0)
 
@@ -160,7 +160,7 @@
                 if recalled > 0:
                     self._pending.append((now + _RECALL_S, server, recalled))
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Remove the slots that the borrower has had time to give back.
 
         Args:
--- a/src/carobhook/coordination/smooth_choice.py
+++ b/src/carobhook/coordination/smooth_round_robin.py
@@ -9,7 +9,7 @@
 
 
 @attrs.define
-class SmoothChoice(typing.Generic[_Item]):
+class SmoothRoundRobin(typing.Generic[_Item]):
     """Chooses among weighted items in turn, separately for each key.
 
     Load pattern: shares are checked over a few hundred requests. Random choices would miss them
--- a/src/carobhook/coordination/steering.py
+++ b/src/carobhook/coordination/steering.py
@@ -6,7 +6,7 @@
 import attrs
 import xxhash
 
-from carobhook.coordination import catalog, paces, smooth_choice
+from carobhook.coordination import catalog, paces, smooth_round_robin
 from carobhook.state import ids, orders, servers
 
 
@@ -25,8 +25,8 @@
         factory=dict, init=False
     )
     _started: bool = attrs.field(default=False, init=False)
-    _choice: smooth_choice.SmoothChoice[ids.Region] = attrs.field(
-        factory=smooth_choice.SmoothChoice, init=False
+    _choice: smooth_round_robin.SmoothRoundRobin[ids.Region] = attrs.field(
+        factory=smooth_round_robin.SmoothRoundRobin, init=False
     )
 
     @property
--- a/src/carobhook/coordination/token_bucket.py
+++ b/src/carobhook/coordination/token_bucket.py
@@ -21,11 +21,11 @@
     def __attrs_post_init__(self) -> None:
         self._tokens = self.burst
 
-    def empty(self, now: float) -> None:
+    def clear(self, now: float) -> None:
         """Remove all tokens, so that a burst is allowed only after they are gained again."""
         self._tokens, self._refilled_at = 0.0, now
 
-    def take(self, now: float) -> bool:
+    def try_consume(self, now: float) -> bool:
         """Remove one token if there is one; return whether there was.
 
         Args:
@@ -37,7 +37,7 @@
         self._tokens -= 1
         return True
 
-    def left(self, now: float) -> float:
+    def available(self, now: float) -> float:
         """Return the number of tokens available now."""
         self._refill(now)
         return self._tokens
--- a/src/carobhook/coordination/work_times.py
+++ b/src/carobhook/coordination/work_times.py
@@ -91,7 +91,7 @@
 
     _means: dict[str, list[_MovingMean]] = attrs.field(factory=dict, init=False)
 
-    def expected(self, route: str, depth: int | None, default_s: float) -> float:
+    def estimate_s(self, route: str, depth: int | None, default_s: float) -> float:
         """Return the expected work time in seconds.
 
         Args:
@@ -112,7 +112,7 @@
                     return means[near].value
         return means[_UNKNOWN_DEPTH].value * _DEFAULT_WARM_SHARE
 
-    def spread(self, route: str) -> float:
+    def high_ratio(self, route: str) -> float:
         """Return the ratio of a high work time, which few requests exceed, to the mean."""
         means = self._means.get(route, ())
         known = [mean for mean in means if mean.samples and mean.value > 0]
@@ -121,7 +121,7 @@
         samples = sum(mean.samples for mean in known)
         return sum(mean.high / mean.value * mean.samples for mean in known) / samples
 
-    def seen(self, route: str, depth: int | None) -> bool:
+    def has_samples(self, route: str, depth: int | None) -> bool:
         """Return whether there are samples for exactly this route and depth class."""
         means = self._means.get(route)
         return means is not None and means[_depth_class(depth)].samples > 0
--- a/src/carobhook/emulator/policies.py
+++ b/src/carobhook/emulator/policies.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from carobhook.coordination import catalog, dispatcher, retry_allowance, server_pool
+from carobhook.coordination import catalog, dispatcher, retry_budget, server_pool
 from carobhook.emulator import model
 from carobhook.state import asks, ids, servers
 
@@ -55,8 +55,8 @@
     def __init__(self, pool: Sequence[model.Server]) -> None:
         self._servers = {ids.Server(server.name): server for server in pool}
         self._requests: dict[ids.RequestId, model.Request] = {}
-        allowance = retry_allowance.RetryAllowance(0.2, 50.0, 10.0)
-        self._one = dispatcher.Dispatcher(allowance)
+        budget = retry_budget.RetryBudget(0.2, 50.0, 10.0)
+        self._one = dispatcher.Dispatcher(budget)
         self._one.pool.replace((_offer(server) for server in pool), 0.0)
 
     def arrive(self, request: model.Request, now: float) -> list[Decision]:
@@ -71,13 +71,15 @@
             request.at + request.kind.deadline_s,
         )
         self._requests[ask.id] = request
-        return self._decisions(self._one.ask(ask, now))
+        return self._decisions(self._one.submit(ask, now))
 
     def ended(self, request: model.Request, server: model.Server, now: float) -> list[Decision]:
         """Give the slot back."""
         ask_id = ids.RequestId(str(request.number))
         end = asks.WorkEnd.ANSWERED
-        return self._decisions(self._one.ended(ask_id, ids.Server(server.name), end, now))
+        return self._decisions(
+            self._one.release_slot(ask_id, ids.Server(server.name), end, now)
+        )
 
     def tick(self, now: float) -> list[Decision]:
         """Look at what waits."""
--- a/src/carobhook/log_output.py
+++ b/src/carobhook/log_output.py
@@ -71,7 +71,7 @@
             now: Monotonic time in seconds.
         """
         reserve = _RESERVED_SHARES[importance] * _BURST_LINES
-        if self._bucket.left(now) > reserve and self._bucket.take(now):
+        if self._bucket.available(now) > reserve and self._bucket.try_consume(now):
             return True
         self.count_omitted(importance)
         return False
--- a/src/carobhook/standins/memory_store.py
+++ b/src/carobhook/standins/memory_store.py
@@ -169,7 +169,7 @@
 
     def _admit(self, operation: str, bucket: token_bucket.TokenBucket, now: float) -> None:
         self._stats.calls[operation] += 1
-        if not bucket.take(now):
+        if not bucket.try_consume(now):
             self._stats.refused += 1
             raise RateLimitedError(f"{operation}: over {bucket.rate:g} calls a second")
 
--- a/src/carobhook/transport/slot_shards.py
+++ b/src/carobhook/transport/slot_shards.py
@@ -9,7 +9,7 @@
 from carobhook.coordination import (
     catalog,
     dispatcher,
-    retry_allowance,
+    retry_budget,
     server_pool,
     slot_loans,
     steering,
@@ -54,7 +54,7 @@
     """A dispatcher that this instance runs, with what it knows of other regions."""
 
     dispatcher: dispatcher.Dispatcher
-    loans: slot_loans.LoanBook
+    loans: slot_loans.LoanController
     askers: dict[ids.RequestId, ids.InstanceId] = attrs.field(factory=dict)
     granted: dict[ids.RequestId, tuple[ids.InstanceId, ids.Server]] = attrs.field(factory=dict)
     untold: set[ids.InstanceId] = attrs.field(factory=set)
@@ -141,7 +141,7 @@
         )
         held = self.open(shard)
         held.askers[ask.id] = sender
-        self._carry_out(held, held.dispatcher.ask(ask, now))
+        self._carry_out(held, held.dispatcher.submit(ask, now))
 
     def withdrawn(self, message: slot_messages.SlotAskWithdrawn) -> None:
         """Forget an ask, or take its slot back."""
@@ -155,7 +155,7 @@
         if granted is not None:
             # The grant crossed the withdrawal, so nothing was sent.
             now = self._reactor.seconds()
-            held.dispatcher.ended(message.id, granted[1], asks.WorkEnd.CANCELLED, now)
+            held.dispatcher.release_slot(message.id, granted[1], asks.WorkEnd.CANCELLED, now)
 
     def ended(self, message: slot_messages.SlotEnded) -> None:
         """Take a slot back."""
@@ -164,7 +164,7 @@
             return
         held.granted.pop(message.id, None)
         now = self._reactor.seconds()
-        decided = held.dispatcher.ended(message.id, message.server, message.end, now)
+        decided = held.dispatcher.release_slot(message.id, message.server, message.end, now)
         self._carry_out(held, decided)
 
     def told_held(self, sender: ids.InstanceId, message: slot_messages.SlotsHeld) -> None:
@@ -176,7 +176,7 @@
         held = self.open(shard)
         for slot in message.held:
             ask = asks.Ask(slot.id, message.service, slot.route, slot.object_key, 0, now, now)
-            held.dispatcher.hold(ask, slot.server, now)
+            held.dispatcher.register_running(ask, slot.server, now)
             held.granted[slot.id] = (sender, slot.server)
         held.untold.discard(sender)
         self._decide(held, now)
@@ -192,7 +192,9 @@
             gone = [ask_id for ask_id, entry in held.granted.items() if entry[0] == name]
             for ask_id in gone:
                 server = held.granted.pop(ask_id)[1]
-                decided = held.dispatcher.ended(ask_id, server, asks.WorkEnd.CANCELLED, now)
+                decided = held.dispatcher.release_slot(
+                    ask_id, server, asks.WorkEnd.CANCELLED, now
+                )
                 self._carry_out(held, decided)
             self._decide(held, now)
 
@@ -223,14 +225,14 @@
         if held is not None:
             return held
         regions = max(1, len(set(self._regions.values())))
-        allowance = retry_allowance.RetryAllowance(
+        budget = retry_budget.RetryBudget(
             self._bounds.budget_ratio,
             self._bounds.budget_slack / regions,
             self._bounds.budget_window_s,
             self._reactor.seconds(),
         )
         held = _Held(
-            dispatcher.Dispatcher(allowance), slot_loans.LoanBook(self._bounds.loan_step)
+            dispatcher.Dispatcher(budget), slot_loans.LoanController(self._bounds.loan_step)
         )
         self._shards[shard] = held
         self._refresh(shard, held)
@@ -251,7 +253,7 @@
         held = self._shards.pop(shard, None)
         if held is None:
             return
-        for ask in held.dispatcher.take_waiting():
+        for ask in held.dispatcher.clear_queue():
             asker = held.askers.pop(ask.id, None)
             if asker is not None:
                 self._send(asker, slot_messages.SlotMoved(ask.id))
@@ -285,7 +287,7 @@
                     own,
                     pool.slots,
                     pool.running,
-                    held.dispatcher.waiting,
+                    held.dispatcher.queue_length,
                     held.demand,
                     tuple(sorted(lent.items())),
                     withheld,
@@ -319,7 +321,7 @@
                 wanted.append(server_pool.ServerOffer(view, home, slots, cold_rate))
         held.withheld = self._orders.withheld(service, region, own)
         held.dispatcher.pool.replace(wanted, now)
-        held.dispatcher.allowance.share = visible
+        held.dispatcher.retry_budget.share = visible
         self._set_lent(held, now)
 
     def _cold_rate(self, service: ids.Service, visible: float) -> float | None:
@@ -329,12 +331,12 @@
         if policy is None or policy.cold_per_s <= 0:
             return None
         most = policy.cold_per_s * self._bounds.cold_over + self._bounds.cold_slack
-        return server_pool.shared_cold_rate(policy.cold_per_s, most, visible)
+        return server_pool.cold_rate_limit(policy.cold_per_s, most, visible)
 
     def _set_lent(self, held: _Held, now: float) -> None:
         """Set how many slots of each server this dispatcher must leave alone."""
         counts: dict[ids.Server, int] = dict(held.withheld)
-        held.recalled.forget(now)
+        held.recalled.expire(now)
         for borrowed in (*held.lent.values(), held.recalled.counts):
             for server, count in borrowed.items():
                 counts[server] = counts.get(server, 0) + count
@@ -343,7 +345,7 @@
                 extra = busy - held.lent.get(region, {}).get(server, 0)
                 if extra > 0:
                     counts[server] = counts.get(server, 0) + extra
-        held.dispatcher.pool.lend(counts)
+        held.dispatcher.pool.set_unavailable_slots(counts)
 
     def report(self, elapsed_s: float, now: float) -> None:
         """Move the loans of all shards, and tell the other regions' dispatchers.
@@ -363,18 +365,20 @@
         own_slots = {
             pooled.name: max(0, pooled.slots - held.withheld.get(pooled.name, 0))
             for pooled in held.dispatcher.pool.servers
-            if pooled.region == region and not pooled.doubtful and now >= pooled.view.cold_until
+            if pooled.region == region
+            and not pooled.is_suspect
+            and now >= pooled.view.cold_until
         }
         loads = {
             other: slot_loans.RegionLoad(report.slots, report.demand)
             for other, report in held.fresh_reports(now).items()
         }
         loads[region] = slot_loans.RegionLoad(sum(own_slots.values()), held.demand)
-        held.loans.update(slot_loans.wanted_loans(region, loads), loads)
+        held.loans.update(slot_loans.target_loans(region, loads), loads)
         before = held.lent
-        held.recalled.forget(now)
+        held.recalled.expire(now)
         order = {
-            server: max(0, own_slots[server] - held.recalled.of(server))
+            server: max(0, own_slots[server] - held.recalled.count(server))
             for server in sorted(own_slots)
         }
         held.lent = slot_loans.place_loans(held.loans.lent, order, held.lent)
@@ -385,7 +389,7 @@
             self._tell_region(shard, held, other, loads[region])
 
     def _take_demand(self, held: _Held, elapsed_s: float) -> None:
-        asked = held.dispatcher.take_demand() / max(0.05, min(elapsed_s, 2.0))
+        asked = held.dispatcher.collect_demand() / max(0.05, min(elapsed_s, 2.0))
         if held.demand is not None:
             held.demand += _DEMAND_WEIGHT * (asked - held.demand)
         elif asked > 0:
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -8,7 +8,7 @@
 from carobhook.coordination import (
     catalog,
     dispatcher,
-    retry_allowance,
+    retry_budget,
     server_pool,
 )
 from carobhook.state import asks, codes, ids, servers
@@ -37,8 +37,8 @@
 
 def make_dispatcher(*offers, ratio=10.0, slack=10.0):
     """Return a dispatcher whose pool has the offered servers."""
-    allowance = retry_allowance.RetryAllowance(ratio, slack, 10.0)
-    dispatcher_ = dispatcher.Dispatcher(allowance)
+    budget = retry_budget.RetryBudget(ratio, slack, 10.0)
+    dispatcher_ = dispatcher.Dispatcher(budget)
     dispatcher_.pool.replace(offers, 0.0)
     return dispatcher_
 
@@ -67,10 +67,10 @@
     def test_request_is_queued_while_all_slots_are_busy(self):
         """With two slots, the third request is queued, and granted when one is released."""
         dispatcher_ = make_dispatcher(offer("a"))
-        assert granted_ids(dispatcher_.ask(make_request(1), 0.0)) == ["r1"]
-        assert granted_ids(dispatcher_.ask(make_request(2), 0.0)) == ["r2"]
-        assert dispatcher_.ask(make_request(3), 0.0) == []
-        decisions = dispatcher_.ended(
+        assert granted_ids(dispatcher_.submit(make_request(1), 0.0)) == ["r1"]
+        assert granted_ids(dispatcher_.submit(make_request(2), 0.0)) == ["r2"]
+        assert dispatcher_.submit(make_request(3), 0.0) == []
+        decisions = dispatcher_.release_slot(
             ids.RequestId("r1"), ids.Server("a"), asks.WorkEnd.ANSWERED, 0.2
         )
         assert granted_ids(decisions) == ["r3"]
@@ -78,25 +78,25 @@
     def test_lent_slots_are_not_granted(self):
         """A slot lent to another region is not granted by the lender."""
         dispatcher_ = make_dispatcher(offer("a"))
-        dispatcher_.pool.lend({ids.Server("a"): 1})
-        dispatcher_.ask(make_request(1), 0.0)
-        assert dispatcher_.ask(make_request(2), 0.0) == []
+        dispatcher_.pool.set_unavailable_slots({ids.Server("a"): 1})
+        dispatcher_.submit(make_request(1), 0.0)
+        assert dispatcher_.submit(make_request(2), 0.0) == []
 
     def test_slots_granted_by_the_previous_dispatcher_count(self):
         """After a takeover, requests that already run occupy their slots."""
         dispatcher_ = make_dispatcher(offer("a", slots=1))
-        dispatcher_.hold(make_request(1), ids.Server("a"), 0.0)
-        assert dispatcher_.ask(make_request(2), 0.0) == []
+        dispatcher_.register_running(make_request(1), ids.Server("a"), 0.0)
+        assert dispatcher_.submit(make_request(2), 0.0) == []
 
     def test_request_without_a_usable_server_is_refused_at_once(self):
         """A request that no server may run is refused, not queued."""
-        decisions = make_dispatcher().ask(make_request(1), 0.0)
+        decisions = make_dispatcher().submit(make_request(1), 0.0)
         assert [d.code for d in decisions] == [codes.Code.NO_BACKEND]
 
     def test_request_runs_only_in_its_home_regions(self):
         """A request with home regions is sent to no server elsewhere."""
         dispatcher_ = make_dispatcher(offer("a", region=FAR))
-        decisions = dispatcher_.ask(make_request(1, homes=frozenset({HOME})), 0.0)
+        decisions = dispatcher_.submit(make_request(1, homes=frozenset({HOME})), 0.0)
         assert [d.code for d in decisions] == [codes.Code.NO_BACKEND]
 
 
@@ -108,7 +108,7 @@
         dispatcher_ = make_dispatcher(offer("a", slots=1))
         decisions = []
         for number in range(20):
-            decisions += dispatcher_.ask(make_request(number, target_s=0.6), 0.0)
+            decisions += dispatcher_.submit(make_request(number, target_s=0.6), 0.0)
         refused = [d for d in decisions if isinstance(d, asks.SlotRefusal)]
         assert len(refused) > 10
         assert all(d.code is codes.Code.DEADLINE_UNMEETABLE for d in refused)
@@ -117,19 +117,19 @@
     def test_late_request_is_dropped_while_others_are_in_time(self):
         """A request that will miss its target leaves the queue if another can meet its own."""
         dispatcher_ = make_dispatcher(offer("a", slots=1))
-        dispatcher_.ask(make_request(1), 0.0)
-        dispatcher_.ask(make_request(2, target_s=0.7), 0.0)
-        dispatcher_.ask(make_request(3, now=0.1, target_s=3.0), 0.1)
+        dispatcher_.submit(make_request(1), 0.0)
+        dispatcher_.submit(make_request(2, target_s=0.7), 0.0)
+        dispatcher_.submit(make_request(3, now=0.1, target_s=3.0), 0.1)
         decisions = dispatcher_.decide(0.6)
         assert [d.ask_id for d in decisions] == ["r2"]
 
     def test_late_request_is_served_while_no_other_waits(self):
         """A late answer is better than none, if no other request needs the slot."""
         dispatcher_ = make_dispatcher(offer("a", slots=1))
-        dispatcher_.ask(make_request(1), 0.0)
-        dispatcher_.ask(make_request(2, target_s=0.7), 0.0)
+        dispatcher_.submit(make_request(1), 0.0)
+        dispatcher_.submit(make_request(2, target_s=0.7), 0.0)
         assert dispatcher_.decide(0.6) == []
-        decisions = dispatcher_.ended(
+        decisions = dispatcher_.release_slot(
             ids.RequestId("r1"), ids.Server("a"), asks.WorkEnd.ANSWERED, 0.8
         )
         assert granted_ids(decisions) == ["r2"]
@@ -137,10 +137,10 @@
     def test_urgent_request_is_granted_first(self):
         """Among queued requests, the lowest priority number is served first."""
         dispatcher_ = make_dispatcher(offer("a", slots=1))
-        dispatcher_.ask(make_request(1), 0.0)
-        dispatcher_.ask(make_request(2, priority=2), 0.0)
-        dispatcher_.ask(make_request(3, priority=0), 0.01)
-        decisions = dispatcher_.ended(
+        dispatcher_.submit(make_request(1), 0.0)
+        dispatcher_.submit(make_request(2, priority=2), 0.0)
+        dispatcher_.submit(make_request(3, priority=0), 0.01)
+        decisions = dispatcher_.release_slot(
             ids.RequestId("r1"), ids.Server("a"), asks.WorkEnd.ANSWERED, 0.1
         )
         assert granted_ids(decisions) == ["r3"]
@@ -148,9 +148,9 @@
     def test_retries_are_limited(self):
         """Once the retry budget is used up, a retry is refused as not run."""
         dispatcher_ = make_dispatcher(offer("a", slots=9), ratio=0.1, slack=1.0)
-        dispatcher_.ask(make_request(1), 0.0)
-        assert granted_ids(dispatcher_.ask(make_request(2, repeat=True), 0.0)) == ["r2"]
-        decisions = dispatcher_.ask(make_request(3, repeat=True), 0.0)
+        dispatcher_.submit(make_request(1), 0.0)
+        assert granted_ids(dispatcher_.submit(make_request(2, repeat=True), 0.0)) == ["r2"]
+        decisions = dispatcher_.submit(make_request(3, repeat=True), 0.0)
         assert [d.code for d in decisions] == [codes.Code.RETRIES_USED_UP]
 
 
@@ -160,23 +160,23 @@
     def test_broken_server_is_paused(self):
         """After a broken connection a server gets no requests, and later one at a time."""
         dispatcher_ = make_dispatcher(offer("a"))
-        dispatcher_.ask(make_request(1), 0.0)
-        dispatcher_.ended(ids.RequestId("r1"), ids.Server("a"), asks.WorkEnd.BROKEN, 0.1)
-        assert dispatcher_.ask(make_request(2, now=0.1, target_s=3.0), 0.1) == []
+        dispatcher_.submit(make_request(1), 0.0)
+        dispatcher_.release_slot(ids.RequestId("r1"), ids.Server("a"), asks.WorkEnd.BROKEN, 0.1)
+        assert dispatcher_.submit(make_request(2, now=0.1, target_s=3.0), 0.1) == []
         assert granted_ids(dispatcher_.decide(0.6)) == ["r2"]
-        assert dispatcher_.ask(make_request(3, now=0.6), 0.6) == []
+        assert dispatcher_.submit(make_request(3, now=0.6), 0.6) == []
 
     def test_healthy_server_is_preferred_to_a_failing_one(self):
         """A server that answers with failures is not chosen while a healthy one is free."""
         dispatcher_ = make_dispatcher(offer("a", slots=4), offer("b", slots=4))
         for number in range(8):
             name = ids.RequestId(f"x{number}")
-            dispatcher_.hold(make_request(f"x{number}"), ids.Server("a"), 0.0)
-            dispatcher_.ended(
+            dispatcher_.register_running(make_request(f"x{number}"), ids.Server("a"), 0.0)
+            dispatcher_.release_slot(
                 ids.RequestId(f"rx{number}"), ids.Server("a"), asks.WorkEnd.FAILED, 0.1
             )
             assert name
-        first = dispatcher_.ask(make_request(1, now=0.2), 0.2)
+        first = dispatcher_.submit(make_request(1, now=0.2), 0.2)
         assert first[0].server == "b"
 
     def test_cold_server_stays_within_its_rate(self):
@@ -185,10 +185,10 @@
         times = []
         for number in range(200):
             now = number * 0.02
-            for decision in dispatcher_.ask(make_request(number, now=now), now):
+            for decision in dispatcher_.submit(make_request(number, now=now), now):
                 if isinstance(decision, asks.SlotGrant):
                     times.append(now)
-                    dispatcher_.ended(
+                    dispatcher_.release_slot(
                         decision.ask_id, decision.server, asks.WorkEnd.ANSWERED, now + 0.001
                     )
         most = max(sum(1 for t in times if start <= t < start + 1) for start in times)
@@ -201,12 +201,12 @@
     def test_object_is_sent_to_the_same_server_again(self):
         """While every server has free slots, the one that handled the object gets it again."""
         dispatcher_ = make_dispatcher(*[offer(f"s{n}") for n in range(6)])
-        first = dispatcher_.ask(make_request(1, object_key="k"), 0.0)[0]
-        dispatcher_.ended(first.ask_id, first.server, asks.WorkEnd.ANSWERED, 0.6)
+        first = dispatcher_.submit(make_request(1, object_key="k"), 0.0)[0]
+        dispatcher_.release_slot(first.ask_id, first.server, asks.WorkEnd.ANSWERED, 0.6)
         for number in range(2, 8):
-            again = dispatcher_.ask(make_request(number, now=1.0, object_key="k"), 1.0)[0]
+            again = dispatcher_.submit(make_request(number, now=1.0, object_key="k"), 1.0)[0]
             assert again.server == first.server
-            dispatcher_.ended(again.ask_id, again.server, asks.WorkEnd.ANSWERED, 1.2)
+            dispatcher_.release_slot(again.ask_id, again.server, asks.WorkEnd.ANSWERED, 1.2)
 
 
 class LoadReplay:
@@ -252,7 +252,7 @@
             if event == "arrive":
                 arrived_at[f"r{key}"] = now
                 self.object_keys[f"r{key}"] = f"o{self.rng.randrange(self.objects)}"
-                decisions = self.dispatcher.ask(
+                decisions = self.dispatcher.submit(
                     make_request(
                         key,
                         now=now,
@@ -267,7 +267,7 @@
                 elapsed_s = now - arrived_at[key]
                 self.in_time += elapsed_s <= self.TARGET_S
                 self.late += elapsed_s > self.TARGET_S
-                decisions = self.dispatcher.ended(
+                decisions = self.dispatcher.release_slot(
                     ids.RequestId(key), ids.Server(server_), asks.WorkEnd.ANSWERED, now
                 )
             for decision in decisions:
--- a/tests/test_explaining.py
+++ b/tests/test_explaining.py
@@ -132,9 +132,9 @@
 
     async def test_repeats_used_up(self):
         """1052, when the service's share of repeats is gone."""
-        allowance = self.daemons[0]._desk._shards.open(("north", "svc")).dispatcher.allowance
+        budget = self.daemons[0]._desk._shards.open(("north", "svc")).dispatcher.retry_budget
         for _ in range(200):
-            allowance.take(reactor.seconds())
+            budget.try_consume(reactor.seconds())
         self.behave(status=500)
         answer = await self.request(X_Attempt_Id="a")
         trace = self.trace("a")
--- a/tests/test_slot_loans.py
+++ b/tests/test_slot_loans.py
@@ -24,26 +24,26 @@
     return slot_loans.RegionLoad(slots, demand)
 
 
-class TestWantedLoans:
+class TestTargetLoans:
     """Target loans between regions."""
 
     def test_overloaded_region_borrows_from_regions_with_spare_slots(self):
         """Demand that exceeds a region's own slots is covered by the other regions."""
         loads = {A: load(8, 16), B: load(60, 8), C: load(60, 8)}
-        lent = slot_loans.wanted_loans(B, loads)[A] + slot_loans.wanted_loans(C, loads)[A]
+        lent = slot_loans.target_loans(B, loads)[A] + slot_loans.target_loans(C, loads)[A]
         assert lent + 8 >= 16
 
     def test_no_loans_while_every_region_has_enough_slots(self):
         """Regions whose own slots are enough for their demand lend nothing."""
         loads = {A: load(40, 4), B: load(40, 4), C: load(40, 4)}
-        assert slot_loans.wanted_loans(A, loads) == {}
+        assert slot_loans.target_loans(A, loads) == {}
 
     def test_overloaded_regions_get_equal_shares(self):
         """Under overload, a region with more servers of its own gets no more slots."""
         loads = {A: load(10, 100), B: load(50, 100), C: load(60, 100)}
         slots_after_loans = {region: loads[region].slots for region in loads}
         for lender in loads:
-            for borrower, count in slot_loans.wanted_loans(lender, loads).items():
+            for borrower, count in slot_loans.target_loans(lender, loads).items():
                 slots_after_loans[lender] -= count
                 slots_after_loans[borrower] += count
         assert max(slots_after_loans.values()) - min(slots_after_loans.values()) < 1.0
@@ -52,17 +52,17 @@
     def test_loans_do_not_exceed_the_lenders_slots(self, loads):
         """A region never lends more slots than it has, nor to itself."""
         for lender in loads:
-            lent = slot_loans.wanted_loans(lender, loads)
+            lent = slot_loans.target_loans(lender, loads)
             assert sum(lent.values()) <= loads[lender].slots + 1e-6
             assert lender not in lent
 
 
-class TestLoanBook:
+class TestLoanController:
     """Loans change in limited steps."""
 
     def test_loan_changes_by_one_step_per_update(self):
         """One update changes a loan by no more than a share of the borrower's demand."""
-        controller = slot_loans.LoanBook(0.05)
+        controller = slot_loans.LoanController(0.05)
         loads = {A: load(0, 100), B: load(200, 10)}
         controller.update({A: 120.0}, loads)
         assert controller.lent == {A: 5}
@@ -71,13 +71,13 @@
 
     def test_initial_loans_are_not_limited(self):
         """Before any request there is no load to shift, so equal shares are lent at once."""
-        controller = slot_loans.LoanBook(0.05)
+        controller = slot_loans.LoanController(0.05)
         controller.update({A: 20.0}, {A: load(0, None), B: load(60, None)})
         assert controller.lent == {A: 20}
 
     def test_loan_to_a_region_without_reports_ends(self):
         """A region that no longer reports its load keeps no loan."""
-        controller = slot_loans.LoanBook(0.05)
+        controller = slot_loans.LoanController(0.05)
         controller.update({A: 20.0}, {A: load(0, None), B: load(60, None)})
         controller.update({}, {B: load(60, None)})
         assert controller.lent == {}
@@ -104,10 +104,10 @@
         x = ids.Server("x")
         recalled = slot_loans.RecalledSlots()
         recalled.recall({A: {x: 3}}, {A: {x: 1}, C: {x: 1}}, 10.0)
-        assert recalled.of(x) == 2
-        recalled.forget(10.2)
-        assert recalled.of(x) == 2
-        recalled.forget(11.0)
+        assert recalled.count(x) == 2
+        recalled.expire(10.2)
+        assert recalled.count(x) == 2
+        recalled.expire(11.0)
         assert recalled.counts == {}
 
     def test_larger_loan_recalls_nothing(self):
