--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -88,7 +88,7 @@
         dispatcher_.register_running(make_request(1), ids.Server("a"), 0.0)
         assert dispatcher_.submit(make_request(2), 0.0) == []
 
-    def test_request_without_a_usable_server_is_refused_at_once(self):
+    def test_no_server_is_refused_at_once(self):
         """A request that no server may run is refused, not queued."""
         decisions = make_dispatcher().submit(make_request(1), 0.0)
         assert [d.code for d in decisions] == [codes.Code.NO_BACKEND]
@@ -100,10 +100,10 @@
         assert [d.code for d in decisions] == [codes.Code.NO_BACKEND]
 
 
-class TestRefusals:
+class TestRefusing:
     """Requests that cannot meet their target are refused early."""
 
-    def test_long_queue_causes_refusals_on_arrival(self):
+    def test_long_queue_refuses_on_arrival(self):
         """A request is refused on arrival if its expected wait exceeds its target."""
         dispatcher_ = make_dispatcher(offer("a", slots=1))
         decisions = []
@@ -145,7 +145,7 @@
         )
         assert granted_ids(decisions) == ["r3"]
 
-    def test_retries_are_limited(self):
+    def test_repeats_are_bounded(self):
         """Once the retry budget is used up, a retry is refused as not run."""
         dispatcher_ = make_dispatcher(offer("a", slots=9), ratio=0.1, slack=1.0)
         dispatcher_.submit(make_request(1), 0.0)
