--- /dev/null
+++ b/src/carobhook/coordination/smooth_round_robin.py
@@ -0,0 +1,34 @@
+"""Smooth weighted round-robin: any few consecutive choices already follow the weights."""
+
+import typing
+from collections.abc import Hashable, Mapping
+
+import attrs
+
+_Item = typing.TypeVar("_Item", bound=Hashable)
+
+
+@attrs.define
+class SmoothRoundRobin(typing.Generic[_Item]):
+    """Chooses among weighted items in turn, separately for each key.
+
+    Load pattern: shares are checked over a few hundred requests. Random choices would miss them
+    by more than is allowed over so few requests, and would choose one item several times in a
+    row.
+    """
+
+    _credits: dict[Hashable, dict[_Item, float]] = attrs.field(factory=dict, init=False)
+
+    def choose(self, key: Hashable, weights: Mapping[_Item, float]) -> _Item:
+        """Return the next item.
+
+        Args:
+            key: Key of the rotation; each has its own state.
+            weights: Weight of each item; between items with equal credit, the first is chosen.
+        """
+        before = self._credits.get(key, {})
+        credits_ = {item: before.get(item, 0.0) + weight for item, weight in weights.items()}
+        chosen = max(weights, key=lambda item: credits_[item])
+        credits_[chosen] -= sum(weights.values())
+        self._credits[key] = credits_
+        return chosen
