--- a/src/carobhook/coordination/intake.py
+++ b/src/carobhook/coordination/intake.py
@@ -1,4 +1,4 @@
-"""Decides what becomes of a request when it comes in: its route, service, region and times."""
+"""Decides the route, service, region and deadlines of an incoming request."""
 
 import attrs
 
@@ -6,28 +6,29 @@
 from carobhook.protocol import own_calls
 from carobhook.state import codes, ids, routing
 
-# Time that a client waits if it does not say; the route's timeout binds besides.
+# Assumed for a client that does not state its remaining time; the route's timeout also applies.
 _DEFAULT_TIME_LEFT_S = 30.0
-# An answer that is sent at the client's deadline arrives after it.
+# Subtracted from the client's remaining time: an answer sent only at the client's deadline
+# would arrive after it.
 _CLIENT_MARGIN_S = 0.03
-# Of a request to a service by its name: part of its time in which its answer is timely, and
-# the most servers that it may be sent to.
-_TARGET_SHARE = 0.5
-_CALL_ATTEMPTS = 2
+# For requests that name a service instead of matching a route: the fraction of the remaining
+# time until the target, and the maximum number of servers that such a request is sent to.
+_CALL_TARGET_FRACTION = 0.5
+_CALL_MAX_ATTEMPTS = 2
 
 
 @attrs.frozen
 class Placed:
-    """Where a request goes and how long it may take.
+    """Where a request is sent and how long it may take.
 
     Attributes:
-        route: Its route.
-        service: The service that is to run it.
-        region: Region whose dispatcher is asked.
-        fallback: Region that is asked if that one refuses, None for none.
+        route: Route of the request.
+        service: Service that runs the request.
+        region: Region whose dispatcher is asked for a slot.
+        fallback: Region to ask if the first refuses, None for none.
         priority: Rank of the request; 0 is the most urgent.
-        target_at: Monotonic time in seconds until which an answer earns its full worth.
-        deadline_at: Monotonic time in seconds of the final answer.
+        target_at: Monotonic time in seconds until which an answer has its full value.
+        deadline_at: Monotonic time in seconds at which the final answer is due.
     """
 
     route: routing.Route
@@ -41,11 +42,11 @@
 
 @attrs.define
 class Intake:
-    """Places requests by the configuration.
+    """Routes requests by the configuration and operators' orders.
 
-    Load pattern: a client that was refused comes back with less time. The longest time that was
-    seen on a route is what a first attempt has, so the difference is what the client has waited
-    already, and its target is that much nearer.
+    Load pattern: a client that was refused sends its request again, with less time left. The
+    longest time left that was seen on a route is taken for that of a first attempt. A request
+    with less time left has waited for the difference already, so its target is earlier by that.
 
     Attributes:
         region: Region of this instance.
@@ -54,10 +55,10 @@
 
     region: ids.Region
     orders: steering.Steering
-    _choice: smooth_choice.SmoothChoice[ids.Service] = attrs.field(
+    _service_choice: smooth_choice.SmoothChoice[ids.Service] = attrs.field(
         factory=smooth_choice.SmoothChoice, init=False
     )
-    _longest_s: dict[str, float] = attrs.field(factory=dict, init=False)
+    _longest_time_left_s: dict[str, float] = attrs.field(factory=dict, init=False)
 
     def place(
         self,
@@ -67,14 +68,14 @@
         time_left_s: float | None,
         began_at: float,
     ) -> Placed | refusals.Refusal:
-        """Return where a request goes, or why it is refused.
+        """Return where a request is sent, or the reason to refuse it.
 
         Args:
             config: Configuration in force, None before the first.
-            host: Value of its host header.
-            path: Its path without the query.
+            host: Value of the request's Host header.
+            path: Path of the request without the query.
             time_left_s: Seconds that the client still waits, None if it does not say.
-            began_at: Monotonic time in seconds at which it came.
+            began_at: Monotonic time in seconds at which the request arrived.
         """
         if config is None:
             return refusals.Refusal(codes.Code.NO_CONFIG, retry_after_s=0.5)
@@ -82,14 +83,14 @@
         if route is None:
             return refusals.Refusal(codes.Code.NO_ROUTE, detail=f"{host}{path}")
         left_s = _DEFAULT_TIME_LEFT_S if time_left_s is None else time_left_s
-        longest_s = max(self._longest_s.get(route.name, 0.0), left_s)
-        self._longest_s[route.name] = longest_s
+        longest_s = max(self._longest_time_left_s.get(route.name, 0.0), left_s)
+        self._longest_time_left_s[route.name] = longest_s
         waited_s = longest_s - left_s if time_left_s is not None else 0.0
         deadline_at = began_at + min(route.timeout_s, left_s - _CLIENT_MARGIN_S)
         service = self.pick(route)
         priority = self.orders.priority(route.name, route.priority)
         target_at = began_at + route.target_s - waited_s
-        return self._placed(route, service, priority, target_at, deadline_at)
+        return self._apply_orders(route, service, priority, target_at, deadline_at)
 
     def place_call(
         self,
@@ -97,12 +98,12 @@
         call: own_calls.ServiceCall,
         began_at: float,
     ) -> Placed | refusals.Refusal:
-        """Return where a request to a service goes, or why it is refused.
+        """Return where a request that names its service is sent, or the reason to refuse it.
 
         Args:
             config: Configuration in force, None before the first.
             call: The request.
-            began_at: Monotonic time in seconds at which it came.
+            began_at: Monotonic time in seconds at which the request arrived.
         """
         if config is None:
             return refusals.Refusal(codes.Code.NO_CONFIG, retry_after_s=0.5)
@@ -116,29 +117,29 @@
             prefix="/",
             idempotency=_idempotency(call),
             timeout_s=left_s,
-            target_s=left_s * _TARGET_SHARE,
+            target_s=left_s * _CALL_TARGET_FRACTION,
             priority=call.priority,
             shares=(routing.Share(call.service, 1),),
-            max_attempts=_CALL_ATTEMPTS,
+            max_attempts=_CALL_MAX_ATTEMPTS,
             keeps_objects=False,
         )
         target_at = began_at + route.target_s
         deadline_at = began_at + left_s - _CLIENT_MARGIN_S
-        return self._placed(route, call.service, call.priority, target_at, deadline_at)
+        return self._apply_orders(route, call.service, call.priority, target_at, deadline_at)
 
     def pick(self, route: routing.Route) -> ids.Service:
-        """Return the service that takes a route's next request, by the weights.
+        """Return the service for a route's next request, by the weights of the route.
 
-        The choice is smooth: over any few requests each service gets its part.
+        The choice is smooth: each service gets its share within a few requests.
         """
         if len(route.shares) == 1:
             return route.shares[0].service
         weights: dict[ids.Service, float] = {}
         for share in route.shares:
             weights[share.service] = weights.get(share.service, 0.0) + share.weight
-        return self._choice.choose(route.name, weights)
+        return self._service_choice.choose(route.name, weights)
 
-    def _placed(
+    def _apply_orders(
         self,
         route: routing.Route,
         service: ids.Service,
@@ -146,13 +147,14 @@
         target_at: float,
         deadline_at: float,
     ) -> Placed:
-        """Return where a request goes by the orders of operators."""
-        home = self._home_of(route)
+        """Return where a request is sent, in the region that operators' shifts select."""
+        home = self._home_region(route)
         region = self.orders.region_for(service, home, priority, route.homes)
         fallback = home if region != home else None
         return Placed(route, service, region, fallback, priority, target_at, deadline_at)
 
-    def _home_of(self, route: routing.Route) -> ids.Region:
+    def _home_region(self, route: routing.Route) -> ids.Region:
+        """Return this instance's region, or the first home region if it may not serve."""
         if not route.homes or self.region in route.homes:
             return self.region
         return min(route.homes)
--- a/src/carobhook/coordination/order_store.py
+++ b/src/carobhook/coordination/order_store.py
@@ -1,4 +1,4 @@
-"""Keeps the operators' orders in the store, one change at a time."""
+"""Writes operators' orders to the store, one change at a time."""
 
 from collections.abc import Awaitable, Callable
 
@@ -6,15 +6,15 @@
 from carobhook.protocol import order_codec
 from carobhook.state import codes, ids, orders, statements
 
-_ATTEMPTS = 4
+_MAX_ATTEMPTS = 4
 
 
 class OrderStore:
-    """Accepts orders by conditional writes, so that of two at once only one wins at a time.
+    """Accepts orders by conditional writes, so concurrent orders never overwrite one another.
 
     Args:
         store: The store.
-        pause: Waits a little before another attempt.
+        pause: Waits for a short time; called before each attempt but the first.
     """
 
     def __init__(
@@ -29,32 +29,33 @@
         context: ordering.OrderContext,
         base: ids.Version | None,
     ) -> orders.OrderBook:
-        """Accept a command; return the orders that are in force with it.
+        """Accept a command, and return the orders in force after it.
 
-        An order whose id is known already is the same order, and changes nothing more.
+        An order whose id the store holds already was accepted before and is not applied again.
 
         Args:
             command: The command.
-            context: Who gave it, and when.
-            base: Version that the operator saw, None for whichever is the last.
+            context: Author, time and id of the order.
+            base: Version that the operator saw, None to accept any version.
 
         Raises:
-            ordering.OrderFault: It is not accepted, or nobody knows yet whether it is.
+            ordering.OrderFault: The order is not accepted, or it is unknown whether it is.
         """
         unknown: objects.StoreError | None = None
-        for attempt in range(_ATTEMPTS):
+        for attempt in range(_MAX_ATTEMPTS):
             if attempt:
                 await self._pause()
             try:
-                book, revision = await self._read()
-                if book.change_of(context.order) is not None:
-                    return book
-                _check_base(book, base)
-                changed = ordering.apply(command, book, context)
+                current, revision = await self._read()
+                if current.change_of(context.order) is not None:
+                    return current
+                _require_latest_base(current, base)
+                changed = ordering.apply(command, current, context)
                 await self._write(changed, revision)
                 return changed
             except objects.ConflictError:
-                # Another order came between; it may be this one, if its answer was lost.
+                # Another write came first. It may be that of this order, if the answer to an
+                # earlier attempt was lost, so read the orders again.
                 continue
             except objects.OutcomeUnknownError as problem:
                 unknown = problem
@@ -65,28 +66,34 @@
         if unknown is not None:
             text = f"ask with the same id again: {unknown}"
             raise ordering.OrderFault(codes.Code.ORDER_UNKNOWN, text) from unknown
-        text = f"other orders came first {_ATTEMPTS} times"
+        text = f"other orders came first {_MAX_ATTEMPTS} times"
         raise ordering.OrderFault(codes.Code.ORDER_CONFLICT, text)
 
     async def _read(self) -> tuple[orders.OrderBook, int | None]:
-        held = await self._store.get(orders.STORE_KIND, orders.STORE_NAME)
-        if held is None:
+        stored = await self._store.get(orders.STORE_KIND, orders.STORE_NAME)
+        if stored is None:
             return orders.OrderBook(), None
-        return order_codec.book(held.value), held.version
+        return order_codec.book(stored.value), stored.version
 
-    async def _write(self, book: orders.OrderBook, revision: int | None) -> None:
-        plain = order_codec.plain(book)
+    async def _write(self, changed: orders.OrderBook, revision: int | None) -> None:
+        plain = order_codec.plain(changed)
         if revision is None:
             await self._store.create(orders.STORE_KIND, orders.STORE_NAME, plain)
         else:
             await self._store.update(orders.STORE_KIND, orders.STORE_NAME, plain, revision)
 
 
-def _check_base(book: orders.OrderBook, base: ids.Version | None) -> None:
-    if base is None or base >= book.version:
+def _require_latest_base(current: orders.OrderBook, base: ids.Version | None) -> None:
+    """Check that an operator saw the latest version.
+
+    Raises:
+        ordering.OrderFault: Another order came first.
+    """
+    if base is None or base >= current.version:
         return
-    last = book.changes[-1]
+    last = current.changes[-1]
     text = (
-        f"order {last.order} of {last.author} came first as version {book.version}: {last.text}"
+        f"order {last.order} of {last.author} came first as version {current.version}: "
+        f"{last.text}"
     )
     raise ordering.OrderFault(codes.Code.ORDER_CONFLICT, text)
--- a/src/carobhook/coordination/order_tables.py
+++ b/src/carobhook/coordination/order_tables.py
@@ -1,4 +1,4 @@
-"""Answers operators' questions from what one instance knows."""
+"""Answers operators' queries and dry runs from the state that one instance knows."""
 
 import datetime
 import functools
@@ -16,14 +16,14 @@
 
 @attrs.frozen
 class Answer:
-    """Answer to an order or a question.
+    """Answer to an order or a query.
 
     Attributes:
-        code: What came of it.
-        text: One sentence, empty for that of the code.
-        version: Version of the orders that it made or tells of.
-        columns: Names of the columns of a table.
-        rows: Its rows.
+        code: Result code.
+        text: One sentence, empty for the text of the code.
+        version: Version of the orders that the order made or that the answer describes.
+        columns: Names of the table's columns.
+        rows: Rows of the table.
     """
 
     code: codes.Code
@@ -35,14 +35,14 @@
 
 @attrs.frozen
 class View:
-    """What questions are answered from.
+    """State of an instance that queries are answered from.
 
     Attributes:
-        orders: Orders in force here, and how far each has taken effect.
+        orders: Orders in force here, and the share of each that has been applied.
         config: Configuration in force, None before the first.
         servers: Servers that may be used.
-        live: Instances that were heard lately.
-        loads: How busy the shards are, as their dispatchers told.
+        live: Live instances, from which a message came recently.
+        loads: Loads of the shards, as reported by their dispatchers.
         regions: Regions by failure domain.
     """
 
@@ -61,11 +61,11 @@
 
 @functools.singledispatch
 def answer(query: object, view: View) -> Answer:
-    """Return the answer to a question.
+    """Return the answer to a query.
 
     Args:
         query: One of `statements.Query`.
-        view: What is known.
+        view: State of this instance.
     """
     raise TypeError(f"query must be a query, got {query!r:.60}")
 
@@ -79,37 +79,37 @@
 @answer.register
 def _(query: statements.ShowChange, view: View) -> Answer:
     changes = view.orders.book.changes
-    found = next((change for change in changes if change.version == query.version), None)
-    if found is None:
+    change = next((c for c in changes if c.version == query.version), None)
+    if change is None:
         text = f"version {query.version} is not kept; the last is {view.orders.book.version}"
         return Answer(codes.Code.ORDER_INVALID, text)
-    columns, rows = _change_rows((found,))
-    return Answer(codes.Code.QUERY_OK, "", found.version, columns, tuple(rows))
+    columns, rows = _change_rows((change,))
+    return Answer(codes.Code.QUERY_OK, "", change.version, columns, tuple(rows))
 
 
 @answer.register
 def _(query: statements.Wait, view: View) -> Answer:
-    lacking = missing(query.version, view.live)
-    code = codes.Code.ORDER_ACCEPTED if lacking else codes.Code.ORDER_IN_FORCE
+    lagging = missing(query.version, view.live)
+    code = codes.Code.ORDER_ACCEPTED if lagging else codes.Code.ORDER_IN_FORCE
     total = len(view.live)
-    reached = f"{total - len(lacking)} of {total} instances"
+    reached = f"{total - len(lagging)} of {total} instances"
     text = f"version {query.version} is in force in {reached}"
-    rows = tuple((name,) for name in lacking)
+    rows = tuple((name,) for name in lagging)
     return Answer(code, text, query.version, ("missing",), rows)
 
 
 def missing(version: ids.Version, live: Sequence[members.Member]) -> list[ids.InstanceId]:
-    """Return the instances in which a version is not in force yet."""
+    """Return the names of the instances in which a version is not in force yet."""
     return [member.name for member in live if member.orders_version < version]
 
 
 @answer.register
 def _(query: statements.ExplainService, view: View) -> Answer:
-    book = view.orders.book
+    in_force = view.orders.book
     columns = ("served by", "share", "wanted", "rank", "why", "author")
     moved = 0.0
     rows: list[Row] = []
-    for shift in book.shifts:
+    for shift in in_force.shifts:
         if (shift.service, shift.source) != (query.service, query.region):
             continue
         share = view.orders.share_of(shift.order)
@@ -123,10 +123,10 @@
     rows += [
         (f"not {drain.name}", _percent(view.orders.share_of(drain.order)), "100%", "all",
          f"drain {drain.order}", drain.author)
-        for drain in book.drains
+        for drain in in_force.drains
     ]  # fmt: skip
     text = "what a region refuses that requests were shifted to is served at home"
-    return Answer(codes.Code.QUERY_OK, text, book.version, columns, tuple(rows))
+    return Answer(codes.Code.QUERY_OK, text, in_force.version, columns, tuple(rows))
 
 
 @answer.register
@@ -134,21 +134,22 @@
     columns = ("service", "slots", "usable", "running", "waiting", "demand", "binds")
     rows = [
         (load.service, load.slots, load.usable, load.running, load.waiting,
-         _number(load.demand), _binding(load))
+         _number(load.demand), _limiting_factor(load))
         for load in view.loads
         if load.region == query.region
     ]  # fmt: skip
-    covering = [
+    drain_texts = [
         f"{drain.kind.value} {drain.name} ({drain.order} of {drain.author})"
         for drain in view.orders.book.drains
         if view.orders.share_of(drain.order) > 0
         and query.region in (drain.name, view.regions.get(ids.FailureDomain(drain.name)))
     ]
-    text = "drained: " + ", ".join(covering) if covering else "no drain holds here"
+    text = "drained: " + ", ".join(drain_texts) if drain_texts else "no drain holds here"
     return Answer(codes.Code.QUERY_OK, text, view.orders.book.version, columns, tuple(rows))
 
 
-def _binding(load: slot_messages.ShardLoad) -> str:
+def _limiting_factor(load: slot_messages.ShardLoad) -> str:
+    """Return the text on what limits the throughput of a shard, empty if nothing does."""
     if load.usable <= 0:
         return "no slots"
     if load.running >= load.usable:
@@ -159,12 +160,14 @@
 
 
 def dry_run(command: statements.Command, view: View, context: ordering.OrderContext) -> Answer:
-    """Return what a command would lead to in the end, without carrying it out.
+    """Return the slots and demand to expect once a command has taken full effect.
+
+    The command itself is not carried out.
 
     Args:
         command: The command.
-        view: What is known.
-        context: Who asks, and when.
+        view: State of this instance.
+        context: Author, time and id of the order.
 
     Raises:
         ordering.OrderFault: The command would not be accepted.
@@ -172,34 +175,44 @@
     after = ordering.apply(command, view.orders.book, context)
     columns = ("service", "region", "slots", "demand", "slots then", "demand then", "use then")
     rows = []
-    short = []
+    overloaded = []
     for service in sorted({load.service for load in view.loads}):
-        found = [load for load in view.loads if load.service == service]
-        drained = _drained(after, context.wall)
+        service_loads = [load for load in view.loads if load.service == service]
+        drained = _drained_names(after, context.wall_time)
         slots = {
-            load.region: _slots_left(drained, service, load.region, view) for load in found
+            load.region: _undrained_slots(drained, service, load.region, view)
+            for load in service_loads
         }
-        demand = _demand_then(after, service, found, context.wall)
-        for load in sorted(found, key=lambda load: load.region):
+        demand = _projected_demand(after, service, service_loads, context.wall_time)
+        for load in sorted(service_loads, key=lambda load: load.region):
             region = load.region
             use = _percent(demand[region] / slots[region]) if slots[region] else "none"
-            told = (load.slots, _number(load.demand), slots[region], _number(demand[region]))
-            rows.append((service, region, *told, use))
+            cells = (load.slots, _number(load.demand), slots[region], _number(demand[region]))
+            rows.append((service, region, *cells, use))
         if sum(demand.values()) > sum(slots.values()):
-            short.append(service)
+            overloaded.append(service)
     text = "regions lend each other slots; "
-    text += f"too few slots for {', '.join(short)}" if short else "there are slots for all"
+    text += (
+        f"too few slots for {', '.join(overloaded)}"
+        if overloaded
+        else "there are slots for all"
+    )
     text += f"; {_duration_text(command, after, context)}"
     version = view.orders.book.version
     return Answer(codes.Code.QUERY_OK, text, version, columns, tuple(rows))
 
 
-def _drained(book: orders.OrderBook, wall: float) -> set[str]:
-    """Return the names of all that is drained, or will be."""
-    return {drain.name for drain in book.drains if ordering.is_open(drain, wall)}
+def _drained_names(current: orders.OrderBook, wall_time: float) -> set[str]:
+    """Return the names of the drained regions, failure domains and servers.
+
+    Those whose drain has yet to begin are included.
+    """
+    return {drain.name for drain in current.drains if ordering.is_open(drain, wall_time)}
 
 
-def _slots_left(drained: set[str], service: ids.Service, region: ids.Region, view: View) -> int:
+def _undrained_slots(
+    drained: set[str], service: ids.Service, region: ids.Region, view: View
+) -> int:
     return sum(
         server.entry.slots
         for server in view.servers
@@ -209,30 +222,37 @@
     )
 
 
-def _demand_then(
-    book: orders.OrderBook,
+def _projected_demand(
+    current: orders.OrderBook,
     service: ids.Service,
     loads: Sequence[slot_messages.ShardLoad],
-    wall: float,
+    wall_time: float,
 ) -> dict[ids.Region, float]:
+    """Return the demand for a service by region once all its shifts have taken full effect."""
     now = {load.region: load.demand or 0.0 for load in loads}
-    then = dict(now)
-    for shift in book.shifts:
-        is_counted = shift.service == service and ordering.is_open(shift, wall)
+    projected = dict(now)
+    for shift in current.shifts:
+        is_counted = shift.service == service and ordering.is_open(shift, wall_time)
         if is_counted and shift.source in now:
-            then[shift.source] -= shift.share * now[shift.source]
-            then[shift.target] = then.get(shift.target, 0.0) + shift.share * now[shift.source]
-    return then
+            projected[shift.source] -= shift.share * now[shift.source]
+            projected[shift.target] = (
+                projected.get(shift.target, 0.0) + shift.share * now[shift.source]
+            )
+    return projected
 
 
 def _duration_text(
-    command: statements.Command, book: orders.OrderBook, context: ordering.OrderContext
+    command: statements.Command, after: orders.OrderBook, context: ordering.OrderContext
 ) -> str:
-    made = [move for move in book.moves if move.order == context.order]
-    if not made:
+    """Return the text on how long the order of a context takes to have full effect.
+
+    A command that moves nothing, such as a cap, is in force within seconds.
+    """
+    order_moves = [move for move in after.moves if move.order == context.order]
+    if not order_moves:
         return "in force within seconds"
-    goal = made[0].share if isinstance(made[0], orders.Shift) else 1.0
-    cap = book.cap_of(made[0])
+    goal = order_moves[0].share if isinstance(order_moves[0], orders.Shift) else 1.0
+    cap = after.cap_of(order_moves[0])
     return f"takes about {paces.duration_s(goal, cap):.0f} s at {_cap_text(cap)}"
 
 
@@ -263,13 +283,13 @@
     rows: list[Row] = []
     for region in sorted(set(view.regions.values())):
         loads = [load for load in view.loads if load.region == region]
-        own = [s for s in view.servers if view.regions.get(s.entry.zone) == region]
+        in_region = [s for s in view.servers if view.regions.get(s.entry.zone) == region]
         rows.append(
             (
                 region,
                 sum(member.region == region for member in view.live),
-                len(own),
-                sum(server.entry.slots for server in own),
+                len(in_region),
+                sum(server.entry.slots for server in in_region),
                 sum(load.running for load in loads),
                 sum(load.waiting for load in loads),
             )
@@ -308,31 +328,32 @@
 
 def _drains(view: View) -> tuple[tuple[str, ...], list[Row]]:
     columns = ("order", "author", "what", "name", "done", "cap", "from", "until")
-    book = view.orders.book
+    in_force = view.orders.book
     return columns, [
         (d.order, d.author, d.kind.value, d.name, _percent(view.orders.share_of(d.order)),
-         _cap_text(book.cap_of(d)), _time_text(d.span.begins_at), _time_text(d.span.ends_at))
-        for d in book.drains
+         _cap_text(in_force.cap_of(d)), _time_text(d.span.begins_at),
+         _time_text(d.span.ends_at))
+        for d in in_force.drains
     ]  # fmt: skip
 
 
 def _shifts(view: View) -> tuple[tuple[str, ...], list[Row]]:
     columns = ("order", "author", "service", "from", "to", "rank", "share", "done", "cap",
                "until")  # fmt: skip
-    book = view.orders.book
+    in_force = view.orders.book
     return columns, [
         (s.order, s.author, s.service, s.source, s.target,
          "all" if s.priority is None else s.priority, _percent(s.share),
-         _percent(view.orders.share_of(s.order)), _cap_text(book.cap_of(s)),
+         _percent(view.orders.share_of(s.order)), _cap_text(in_force.cap_of(s)),
          _time_text(s.span.ends_at))
-        for s in book.shifts
+        for s in in_force.shifts
     ]  # fmt: skip
 
 
 def _caps(view: View) -> tuple[tuple[str, ...], list[Row]]:
-    book = view.orders.book
-    rows: list[Row] = [("all others", _cap_text(book.cap))]
-    rows += [(service, _cap_text(cap)) for service, cap in sorted(book.caps.items())]
+    in_force = view.orders.book
+    rows: list[Row] = [("all others", _cap_text(in_force.cap))]
+    rows += [(service, _cap_text(cap)) for service, cap in sorted(in_force.caps.items())]
     return ("service", "cap"), rows
 
 
--- a/src/carobhook/coordination/ordering.py
+++ b/src/carobhook/coordination/ordering.py
@@ -1,4 +1,4 @@
-"""Decides what an operator's order makes of the orders in force, or why it is refused."""
+"""Applies operators' commands to the orders in force, or refuses them with a reason."""
 
 import functools
 import typing
@@ -10,18 +10,20 @@
 from carobhook.state import codes, ids, orders, statements
 
 _DAY_S = 24 * 3600
-_CHANGES_KEPT = 200
-# An instance whose wall clock stepped returns later than others.
-_RETURNED_KEPT_S = 60.0
+_MAX_CHANGES = 200
+# Time for which an order is kept after all that it moved should have returned. An instance
+# whose wall clock jumped returns traffic later than the others. If the order were removed
+# before that instance is done, the rest of its traffic would return at once, beyond the cap.
+_RETENTION_AFTER_RETURN_S = 60.0
 
 _M = typing.TypeVar("_M", orders.Shift, orders.Drain)
 
 
 class OrderFault(Exception):  # noqa: N818 - an answer to an operator, not a fault of the program.
-    """An order cannot be accepted.
+    """An order was not accepted, or it is not known yet whether it was.
 
     Attributes:
-        code: Why.
+        code: Result code that gives the reason.
         text: One sentence for the operator.
     """
 
@@ -33,7 +35,7 @@
 
 @attrs.frozen
 class KnownNames:
-    """What orders may name.
+    """Names that orders may refer to.
 
     Attributes:
         regions: Regions by failure domain.
@@ -50,86 +52,97 @@
 
 @attrs.frozen
 class OrderContext:
-    """Who gave an order, and when.
+    """The author, time and id of an order, and the names that it may refer to.
 
     Attributes:
         order: Id of the order.
-        author: The operator.
-        text: The order as it was written.
-        wall: Wall-clock time in seconds.
-        known: What the order may name.
+        author: Operator who gave the order.
+        text: The order as the operator wrote it.
+        wall_time: Wall-clock time in seconds at which the order is evaluated.
+        known: Names that the order may refer to.
     """
 
     order: ids.OrderId
     author: str
     text: str
-    wall: float
+    wall_time: float
     known: KnownNames
 
 
 def apply(
-    command: statements.Command, book: orders.OrderBook, context: OrderContext
+    command: statements.Command, current: orders.OrderBook, context: OrderContext
 ) -> orders.OrderBook:
-    """Return the orders in force after a command.
+    """Return the orders in force after a command, with the command added to their changes.
 
     Args:
         command: The command.
-        book: Orders in force.
-        context: Who gave it, and when.
+        current: Orders in force before the command.
+        context: Author, time and id of the order.
 
     Raises:
         OrderFault: The command cannot be accepted.
     """
-    changed = _apply(command, book, context)
-    version = ids.Version(book.version + 1)
-    change = orders.Change(version, context.order, context.author, context.wall, context.text)
+    changed = _apply(command, current, context)
+    version = ids.Version(current.version + 1)
+    change = orders.Change(
+        version, context.order, context.author, context.wall_time, context.text
+    )
     return attrs.evolve(
         changed,
         version=version,
-        shifts=tuple(s for s in changed.shifts if not _is_over(s, changed, context.wall)),
-        drains=tuple(d for d in changed.drains if not _is_over(d, changed, context.wall)),
-        changes=(*changed.changes, change)[-_CHANGES_KEPT:],
+        shifts=tuple(
+            s for s in changed.shifts if not _is_removable(s, changed, context.wall_time)
+        ),
+        drains=tuple(
+            d for d in changed.drains if not _is_removable(d, changed, context.wall_time)
+        ),
+        changes=(*changed.changes, change)[-_MAX_CHANGES:],
     )
 
 
-def is_open(order: orders.Move, wall: float) -> bool:
-    """Tell whether an order holds now, or will at a time of its schedule.
+def is_open(order: orders.Move, wall_time: float) -> bool:
+    """Return whether an order has not ended yet; one that has yet to begin is open too.
 
     Args:
         order: The order.
-        wall: Wall-clock time in seconds.
+        wall_time: Wall-clock time in seconds.
     """
-    return order.span.ends_at is None or order.span.ends_at > wall
+    return order.span.ends_at is None or order.span.ends_at > wall_time
 
 
-def _is_over(order: orders.Move, book: orders.OrderBook, wall: float) -> bool:
-    """Tell whether an order has ended, and what it moved has been back for a while."""
+def _is_removable(order: orders.Move, current: orders.OrderBook, wall_time: float) -> bool:
+    """Return whether an ended order can be removed from the orders in force.
+
+    It can once the retention time has passed since all that it moved should have returned.
+    """
     goal = order.share if isinstance(order, orders.Shift) else 1.0
-    ends_at, then = order.span.ends_at, wall - _RETURNED_KEPT_S
-    if ends_at is None or then < ends_at:
+    ends_at, cutoff = order.span.ends_at, wall_time - _RETENTION_AFTER_RETURN_S
+    if ends_at is None or cutoff < ends_at:
         return False
-    return paces.scheduled_share(goal, order.span, book.cap_of(order), then) <= 0
+    return paces.scheduled_share(goal, order.span, current.cap_of(order), cutoff) <= 0
 
 
 @functools.singledispatch
-def _apply(command: object, book: orders.OrderBook, context: OrderContext) -> orders.OrderBook:
+def _apply(
+    command: object, current: orders.OrderBook, context: OrderContext
+) -> orders.OrderBook:
     raise TypeError(f"command must be a command, got {command!r:.60}")
 
 
 @_apply.register
 def _(
-    command: statements.Shift, book: orders.OrderBook, context: OrderContext
+    command: statements.Shift, current: orders.OrderBook, context: OrderContext
 ) -> orders.OrderBook:
     known = context.known
-    _check(command.service, known.services, "service")
+    _require_known(command.service, known.services, "service")
     for region in (command.source, command.target):
-        _check(region, set(known.regions.values()), "region")
+        _require_known(region, set(known.regions.values()), "region")
     if command.source == command.target:
         text = f"{command.source} is both where requests leave and where they go"
         raise OrderFault(codes.Code.ORDER_INVALID, text)
     moved = sum(
         s.share
-        for s in book.shifts
+        for s in current.shifts
         if (s.service, s.source) == (command.service, command.source)
         and s.span.ends_at is None
         and (s.priority is None or command.priority in (None, s.priority))
@@ -144,149 +157,170 @@
         command.source,
         command.target,
         command.share,
-        orders.Span(context.wall),
-        _own_cap(command.own_cap, book.caps.get(command.service, book.cap)),
+        orders.Span(context.wall_time),
+        _validated_cap(command.own_cap, current.caps.get(command.service, current.cap)),
         command.priority,
     )
-    return attrs.evolve(book, shifts=(*book.shifts, shift))
+    return attrs.evolve(current, shifts=(*current.shifts, shift))
 
 
 @_apply.register
 def _(
-    command: statements.Drain, book: orders.OrderBook, context: OrderContext
+    command: statements.Drain, current: orders.OrderBook, context: OrderContext
 ) -> orders.OrderBook:
-    _check_subject(command.kind, command.name, context.known)
-    begins_at = _next_time(command.starts, context.wall)
-    ends_at = None if command.ends is None else _next_time(command.ends, begins_at)
+    _require_drain_name(command.kind, command.name, context.known)
+    begins_at = _next_occurrence(command.starts, context.wall_time)
+    ends_at = None if command.ends is None else _next_occurrence(command.ends, begins_at)
     drain = orders.Drain(
         context.order,
         context.author,
         command.kind,
         command.name,
         orders.Span(begins_at, ends_at),
-        _own_cap(command.own_cap, book.cap),
+        _validated_cap(command.own_cap, current.cap),
     )
-    _check_some_left(drain, book, context)
-    return attrs.evolve(book, drains=(*book.drains, drain))
+    _require_domain_left(drain, current, context)
+    return attrs.evolve(current, drains=(*current.drains, drain))
 
 
 @_apply.register
 def _(
-    command: statements.Undrain, book: orders.OrderBook, context: OrderContext
+    command: statements.Undrain, current: orders.OrderBook, context: OrderContext
 ) -> orders.OrderBook:
     subject = (command.kind, command.name)
-    if not any((d.kind, d.name) == subject and is_open(d, context.wall) for d in book.drains):
+    if not any(
+        (d.kind, d.name) == subject and is_open(d, context.wall_time) for d in current.drains
+    ):
         text = f"{command.kind.value} {command.name} is not drained"
         raise OrderFault(codes.Code.ORDER_INVALID, text)
     drains = tuple(
-        _ended(d, context) if (d.kind, d.name) == subject else d for d in book.drains
+        _end_now(d, context) if (d.kind, d.name) == subject else d for d in current.drains
     )
-    return attrs.evolve(book, drains=drains)
+    return attrs.evolve(current, drains=drains)
 
 
 @_apply.register
 def _(
-    command: statements.SetCap, book: orders.OrderBook, context: OrderContext
+    command: statements.SetCap, current: orders.OrderBook, context: OrderContext
 ) -> orders.OrderBook:
     if command.cap.share <= 0:
         raise OrderFault(
             codes.Code.ORDER_INVALID, "a cap of 0% would let nothing move or return"
         )
     if command.service is None:
-        return attrs.evolve(book, cap=command.cap)
-    _check(command.service, context.known.services, "service")
-    return attrs.evolve(book, caps={**book.caps, command.service: command.cap})
+        return attrs.evolve(current, cap=command.cap)
+    _require_known(command.service, context.known.services, "service")
+    return attrs.evolve(current, caps={**current.caps, command.service: command.cap})
 
 
 @_apply.register
 def _(
-    command: statements.SetRank, book: orders.OrderBook, context: OrderContext
+    command: statements.SetRank, current: orders.OrderBook, context: OrderContext
 ) -> orders.OrderBook:
-    priorities = dict(book.priorities)
+    priorities = dict(current.priorities)
     if command.priority is None:
-        _check(command.route, priorities, "route with a rank of its own")
+        _require_known(command.route, priorities, "route with a rank of its own")
         del priorities[command.route]
     else:
-        _check(command.route, context.known.routes, "route")
+        _require_known(command.route, context.known.routes, "route")
         priorities[command.route] = command.priority
-    return attrs.evolve(book, priorities=priorities)
+    return attrs.evolve(current, priorities=priorities)
 
 
 @_apply.register
 def _(
-    command: statements.Cancel, book: orders.OrderBook, context: OrderContext
+    command: statements.Cancel, current: orders.OrderBook, context: OrderContext
 ) -> orders.OrderBook:
-    found = [held.order for held in book.moves if is_open(held, context.wall)]
-    _check(command.order, found, "order that is under way")
+    open_orders = [move.order for move in current.moves if is_open(move, context.wall_time)]
+    _require_known(command.order, open_orders, "order that is under way")
     return attrs.evolve(
-        book,
+        current,
         shifts=tuple(
-            _ended(s, context) if s.order == command.order else s for s in book.shifts
+            _end_now(s, context) if s.order == command.order else s for s in current.shifts
         ),
         drains=tuple(
-            _ended(d, context) if d.order == command.order else d for d in book.drains
+            _end_now(d, context) if d.order == command.order else d for d in current.drains
         ),
     )
 
 
-def _ended(order: _M, context: OrderContext) -> _M:
-    """Return an order that ends now; one that has not begun never does."""
-    now = context.wall
+def _end_now(order: _M, context: OrderContext) -> _M:
+    """Return an order that ends now.
+
+    An order that has not begun yet gets an end before its begin, so it never takes effect.
+    """
+    now = context.wall_time
     if order.span.begins_at > now:
         return attrs.evolve(order, span=orders.Span(now, now - 1.0))
     return attrs.evolve(order, span=orders.Span(order.span.begins_at, now))
 
 
-def _own_cap(own: statements.OwnCap | None, general: orders.Cap) -> orders.Cap | None:
-    """Return the cap of an order, None for the general one."""
-    if own is None:
+def _validated_cap(
+    override: statements.OwnCap | None, general: orders.Cap
+) -> orders.Cap | None:
+    """Return the cap that an order sets for itself, None for the general one.
+
+    Raises:
+        OrderFault: The cap is zero, or it is wider than the general one without being an
+            emergency cap.
+    """
+    if override is None:
         return None
-    if own.cap.share <= 0:
+    if override.cap.share <= 0:
         raise OrderFault(codes.Code.ORDER_INVALID, "a cap of 0% would let nothing move")
-    pace = own.cap.share / own.cap.window_s
-    is_wider = own.cap.share > general.share or pace > general.share / general.window_s
-    if is_wider and not own.emergency:
+    rate = override.cap.share / override.cap.window_s
+    is_wider = override.cap.share > general.share or rate > general.share / general.window_s
+    if is_wider and not override.emergency:
         text = (
             f"the cap is wider than {general.share:.0%} per {general.window_s:g}s; "
             "an emergency cap may be"
         )
         raise OrderFault(codes.Code.ORDER_OVER_CAP, text)
-    return own.cap
+    return override.cap
 
 
-def _check(name: str, known: Collection[str], what: str) -> None:
+def _require_known(name: str, known: Collection[str], what: str) -> None:
+    """Check that a name is known.
+
+    Raises:
+        OrderFault: It is not; the text lists up to 20 names that are.
+    """
     if name not in known:
         listed = ", ".join(sorted(known)[:20]) or "none"
         text = f"{name!r} is no {what}; there are: {listed}"
         raise OrderFault(codes.Code.ORDER_INVALID, text)
 
 
-def _check_subject(kind: orders.DrainKind, name: str, known: KnownNames) -> None:
+def _require_drain_name(kind: orders.DrainKind, name: str, known: KnownNames) -> None:
     names: Collection[str] = known.servers
     if kind is orders.DrainKind.REGION:
         names = set(known.regions.values())
     elif kind is orders.DrainKind.FAILURE_DOMAIN:
         names = known.regions
-    _check(name, names, kind.value)
+    _require_known(name, names, kind.value)
 
 
-def _check_some_left(
-    drain: orders.Drain, book: orders.OrderBook, context: OrderContext
+def _require_domain_left(
+    drain: orders.Drain, current: orders.OrderBook, context: OrderContext
 ) -> None:
-    """Refuse a drain that would leave no failure domain to serve."""
-    drains = (*(d for d in book.drains if is_open(d, context.wall)), drain)
+    """Check that some failure domain can still serve once a drain has taken effect.
+
+    Raises:
+        OrderFault: No failure domain would be left.
+    """
+    drains = (*(d for d in current.drains if is_open(d, context.wall_time)), drain)
     drained = {d.name for d in drains if d.kind is not orders.DrainKind.SERVER}
-    zones = context.known.regions.items()
-    left = [zone for zone, region in zones if not drained & {zone, region}]
-    if not left:
+    domains = context.known.regions.items()
+    remaining = [domain for domain, region in domains if not drained & {domain, region}]
+    if not remaining:
         text = f"with {drain.kind.value} {drain.name} drained, no failure domain would serve"
         raise OrderFault(codes.Code.ORDER_OVERLOAD, text)
 
 
-def _next_time(second_of_day: int | None, after: float) -> float:
-    """Return when a time of day comes next; the time itself without one."""
+def _next_occurrence(second_of_day: int | None, after: float) -> float:
+    """Return the next occurrence of a time of day in UTC, or `after` if no time is given."""
     if second_of_day is None:
         return after
     midnight = after - after % _DAY_S
-    due = midnight + second_of_day
-    return due if due >= after else due + _DAY_S
+    today = midnight + second_of_day
+    return today if today >= after else today + _DAY_S
--- a/src/carobhook/coordination/paces.py
+++ b/src/carobhook/coordination/paces.py
@@ -1,7 +1,7 @@
-"""Decides how much of an order has taken effect at a time, within its cap.
+"""Computes how much of an order has taken effect at a given time, within its cap.
 
 Load pattern: an operator moves a large part of a service at once, to servers with cold caches.
-Each step moves at most the cap, and the next one comes a window later.
+The cap bounds each step, and a whole window passes between two steps.
 """
 
 import collections
@@ -11,39 +11,44 @@
 
 from carobhook.state import orders
 
-# What an order moved returns more slowly than it left.
-_RETURN_PACE = 0.5
+# Traffic returns at this fraction of the rate at which the order moved it away.
+_RETURN_RATE_FACTOR = 0.5
 _ROUNDING = 1e-9
 
 
-def scheduled_share(goal: float, span: orders.Span, cap: orders.Cap, wall: float) -> float:
-    """Return the share that an order should have moved by now.
+def scheduled_share(goal: float, span: orders.Span, cap: orders.Cap, wall_time: float) -> float:
+    """Return the share that an order should have moved by a given time.
 
     Args:
-        goal: Share that it is to move in the end.
-        span: When it holds.
-        cap: Most that may move within a window.
-        wall: Wall-clock time in seconds.
+        goal: Share that the order moves once it has taken full effect.
+        span: Times at which the order begins and ends.
+        cap: Largest share that may move within a window.
+        wall_time: Wall-clock time in seconds.
     """
-    moved = _stepped(goal, cap.share, cap.window_s, wall - span.begins_at)
-    if span.ends_at is None or wall < span.ends_at:
+    moved = _stepped_share(goal, cap.share, cap.window_s, wall_time - span.begins_at)
+    if span.ends_at is None or wall_time < span.ends_at:
         return moved
-    left = _stepped(goal, cap.share, cap.window_s, span.ends_at - span.begins_at)
-    back = cap.share * _RETURN_PACE
-    return max(0.0, left - _stepped(left, back, cap.window_s, wall - span.ends_at))
+    moved_at_end = _stepped_share(goal, cap.share, cap.window_s, span.ends_at - span.begins_at)
+    return_step = cap.share * _RETURN_RATE_FACTOR
+    return max(
+        0.0,
+        moved_at_end
+        - _stepped_share(moved_at_end, return_step, cap.window_s, wall_time - span.ends_at),
+    )
 
 
 def duration_s(goal: float, cap: orders.Cap) -> float:
-    """Return the seconds that an order needs to move its share.
+    """Return the seconds from the first step of an order until it has taken full effect.
 
     Args:
-        goal: Share that it is to move.
-        cap: Most that may move within a window.
+        goal: Share that the order moves once it has taken full effect.
+        cap: Largest share that may move within a window.
     """
     return max(0.0, math.ceil(goal / cap.share - _ROUNDING) - 1) * cap.window_s
 
 
-def _stepped(goal: float, step: float, window_s: float, elapsed_s: float) -> float:
+def _stepped_share(goal: float, step: float, window_s: float, elapsed_s: float) -> float:
+    """Return the share after one step at once and another at the end of each window."""
     if elapsed_s < 0:
         return 0.0
     return min(goal, step * (math.floor(elapsed_s / window_s) + 1))
@@ -51,10 +56,10 @@
 
 @attrs.define
 class MovedShares:
-    """What one instance has moved lately, by its own steady clock.
+    """Limits what one instance moves within a window, measured by its monotonic clock.
 
-    The wall clock, by which orders are scheduled, may step; no step lets an instance move more
-    than the cap within a window.
+    Orders are scheduled by the wall clock, which may jump. Without this limit, a jump would let
+    an instance move more than the cap within a window.
     """
 
     _moves: collections.deque[tuple[float, float]] = attrs.field(
@@ -62,10 +67,10 @@
     )
 
     def room(self, cap: orders.Cap, now: float) -> float:
-        """Return how much more the cap lets move now.
+        """Return the share that the cap still allows to move in the current window.
 
         Args:
-            cap: Most that may move within a window.
+            cap: Largest share that may move within a window.
             now: Monotonic time in seconds.
         """
         while self._moves and self._moves[0][0] <= now - cap.window_s:
@@ -73,10 +78,10 @@
         return max(0.0, cap.share - sum(share for _, share in self._moves))
 
     def count(self, share: float, now: float) -> None:
-        """Count a move.
+        """Record a move.
 
         Args:
-            share: Share that moved, whichever way.
+            share: Share that was moved, whether away from its region or back.
             now: Monotonic time in seconds.
         """
         if share > 0:
--- a/src/carobhook/coordination/refusals.py
+++ b/src/carobhook/coordination/refusals.py
@@ -1,13 +1,13 @@
-"""What a client is told of a request that gets no answer from a server."""
+"""Answers that an instance gives to a client itself, without a server's answer."""
 
 import attrs
 
 from carobhook.state import codes
 
-# Codes that promise that the request was not run travel with one of these statuses.
+# A result code that says that the request was not run is sent only with one of these statuses.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-# These say nothing of whether the request was run, so a client must not repeat it.
-_SILENT_STATUSES = frozenset({502, 504})
+# These leave open whether the request was run, so a client must not repeat it.
+_AMBIGUOUS_STATUSES = frozenset({502, 504})
 
 
 @attrs.frozen
@@ -15,10 +15,10 @@
     """An answer that this instance gives in place of a server's.
 
     Attributes:
-        code: Why.
+        code: Result code that gives the reason.
         may_have_run: Whether a server may have run the request.
-        retry_after_s: Seconds after which the client may come back, or None.
-        detail: What led to it, for the log.
+        retry_after_s: Seconds after which the client may send the request again, or None.
+        detail: Details of the cause, for the log.
     """
 
     code: codes.Code
@@ -28,10 +28,14 @@
 
     @property
     def status(self) -> int:
-        """Return the HTTP status: one that promises not-run if, and only if, that is true."""
+        """Return the HTTP status.
+
+        A status that says that the request was not run is returned only if that is certain. If
+        the request was not run but the status of its code leaves that open, 503 is returned.
+        """
         status = self.code.value.http_status
         if self.may_have_run:
             return 502 if status in NOT_RUN_STATUSES else status
-        if status in _SILENT_STATUSES and self.code.run is codes.Run.NOT_RUN:
+        if status in _AMBIGUOUS_STATUSES and self.code.run is codes.Run.NOT_RUN:
             return 503
         return status
--- a/src/carobhook/coordination/steering.py
+++ b/src/carobhook/coordination/steering.py
@@ -1,4 +1,4 @@
-"""What operators' orders mean for servers and requests at this moment."""
+"""Applies operators' orders to servers and requests, gradually and within their caps."""
 
 import math
 from collections.abc import Collection, Iterable, Mapping, Sequence
@@ -12,7 +12,7 @@
 
 @attrs.define
 class Steering:
-    """The orders in force, and how far each has taken effect here.
+    """Holds the orders in force and the share of each that this instance has applied.
 
     Attributes:
         regions: Regions by failure domain.
@@ -20,12 +20,12 @@
 
     regions: Mapping[ids.FailureDomain, ids.Region]
     _book: orders.OrderBook = attrs.field(factory=orders.OrderBook, init=False)
-    _shares: dict[ids.OrderId, float] = attrs.field(factory=dict, init=False)
-    _moved: dict[tuple[ids.Region, ids.Service], paces.MovedShares] = attrs.field(
+    _applied_shares: dict[ids.OrderId, float] = attrs.field(factory=dict, init=False)
+    _move_limiters: dict[tuple[ids.Region, ids.Service], paces.MovedShares] = attrs.field(
         factory=dict, init=False
     )
     _started: bool = attrs.field(default=False, init=False)
-    _choice: smooth_choice.SmoothChoice[ids.Region] = attrs.field(
+    _region_choice: smooth_choice.SmoothChoice[ids.Region] = attrs.field(
         factory=smooth_choice.SmoothChoice, init=False
     )
 
@@ -34,59 +34,69 @@
         """Return the orders in force."""
         return self._book
 
-    def offer(self, book: orders.OrderBook) -> bool:
-        """Take orders if they are newer than those in force; tell whether they were."""
-        if book.version <= self._book.version:
+    def offer(self, candidate: orders.OrderBook) -> bool:
+        """Replace the orders in force by newer ones; return whether they were newer."""
+        if candidate.version <= self._book.version:
             return False
-        self._book = book
+        self._book = candidate
         return True
 
     def share_of(self, order: ids.OrderId) -> float:
-        """Return how much of an order has taken effect here."""
-        return self._shares.get(order, 0.0)
+        """Return the share of traffic or slots that an order has moved on this instance."""
+        return self._applied_shares.get(order, 0.0)
 
-    def advance(self, services: Collection[ids.Service], now: float, wall: float) -> bool:
-        """Move what is due; tell whether anything moved.
+    def advance(self, services: Collection[ids.Service], now: float, wall_time: float) -> bool:
+        """Update the applied share of each order; return whether any share changed.
 
         Args:
-            services: All services, each of which a drain moves.
+            services: All services; a drain of a region or failure domain affects each of them.
             now: Monotonic time in seconds.
-            wall: Wall-clock time in seconds.
+            wall_time: Wall-clock time in seconds.
         """
-        before = dict(self._shares)
-        kept: dict[ids.OrderId, float] = {}
+        before = dict(self._applied_shares)
+        after: dict[ids.OrderId, float] = {}
         for order in self._book.moves:
-            share = self._next_share(order, services, now, wall)
+            share = self._next_share(order, services, now, wall_time)
             if share > 0:
-                kept[order.order] = share
-        self._shares = kept
-        # An instance that starts while an order is half done takes up where the others are.
+                after[order.order] = share
+        self._applied_shares = after
+        # The first call applies the scheduled shares in full: an instance that starts while an
+        # order is partly applied begins at the share that the other instances have reached.
         self._started = True
-        return kept != before
+        return after != before
 
     def _next_share(
-        self, order: orders.Move, services: Collection[ids.Service], now: float, wall: float
+        self,
+        order: orders.Move,
+        services: Collection[ids.Service],
+        now: float,
+        wall_time: float,
     ) -> float:
+        """Return the share of an order to apply now, and record the move with its limiters."""
         cap = self._book.cap_of(order)
         goal = order.share if isinstance(order, orders.Shift) else 1.0
-        wanted = paces.scheduled_share(goal, order.span, cap, wall)
-        present = self._shares.get(order.order, 0.0)
-        if not self._started or wanted == present:
-            return wanted
-        ledgers = [self._ledger(key) for key in self._keys(order, services)]
-        room = min((ledger.room(cap, now) for ledger in ledgers), default=1.0)
-        taken = min(abs(wanted - present), room)
-        for ledger in ledgers:
-            ledger.count(taken, now)
-        return present + math.copysign(taken, wanted - present)
-
-    def _ledger(self, key: tuple[ids.Region, ids.Service]) -> paces.MovedShares:
-        return self._moved.setdefault(key, paces.MovedShares())
-
-    def _keys(
+        scheduled = paces.scheduled_share(goal, order.span, cap, wall_time)
+        applied = self._applied_shares.get(order.order, 0.0)
+        if not self._started or scheduled == applied:
+            return scheduled
+        limiters = [self._move_limiter(key) for key in self._limiter_keys(order, services)]
+        allowance = min((limiter.room(cap, now) for limiter in limiters), default=1.0)
+        step = min(abs(scheduled - applied), allowance)
+        for limiter in limiters:
+            limiter.count(step, now)
+        return applied + math.copysign(step, scheduled - applied)
+
+    def _move_limiter(self, key: tuple[ids.Region, ids.Service]) -> paces.MovedShares:
+        return self._move_limiters.setdefault(key, paces.MovedShares())
+
+    def _limiter_keys(
         self, order: orders.Move, services: Collection[ids.Service]
     ) -> list[tuple[ids.Region, ids.Service]]:
-        """Return whose moved shares an order counts to; a single server is a small part."""
+        """Return the regions and services whose moves an order counts towards.
+
+        The drain of a single server counts towards none, as it moves only a small part of the
+        traffic of a service.
+        """
         if isinstance(order, orders.Shift):
             return [(order.source, order.service)]
         if order.kind is orders.DrainKind.SERVER:
@@ -99,9 +109,9 @@
     # Servers.
 
     def empties(self, entry: servers.ServerEntry) -> bool:
-        """Tell whether a server must get no new work at all."""
+        """Return whether a drain of a server has taken full effect, so it gets no new work."""
         return any(
-            self.share_of(drain.order) >= 1.0 and self._covers(drain, entry)
+            self.share_of(drain.order) >= 1.0 and self._drain_includes(drain, entry)
             for drain in self._book.drains
         )
 
@@ -111,23 +121,25 @@
         region: ids.Region,
         views: Sequence[catalog.ServerView],
     ) -> dict[ids.Server, int]:
-        """Return the slots of a region's servers that drains leave unused.
+        """Return the number of slots of each server that drains keep from use.
 
         Args:
             service: Service of the servers.
-            region: Their region.
+            region: Region of the servers.
             views: The servers.
         """
-        found: dict[ids.Server, int] = {}
+        slots_by_server: dict[ids.Server, int] = {}
         for drain in self._book.drains:
             share = self.share_of(drain.order)
             if share <= 0:
                 continue
-            covered = [view.entry for view in views if self._covers(drain, view.entry)]
-            _withhold(found, covered, share, f"{drain.order}/{region}/{service}")
-        return found
+            drained = [view.entry for view in views if self._drain_includes(drain, view.entry)]
+            _withhold_slots(
+                slots_by_server, drained, share, f"{drain.order}/{region}/{service}"
+            )
+        return slots_by_server
 
-    def _covers(self, drain: orders.Drain, entry: servers.ServerEntry) -> bool:
+    def _drain_includes(self, drain: orders.Drain, entry: servers.ServerEntry) -> bool:
         if drain.kind is orders.DrainKind.REGION:
             return self.regions.get(entry.zone) == drain.name
         if drain.kind is orders.DrainKind.FAILURE_DOMAIN:
@@ -136,14 +148,14 @@
 
     # Requests.
 
-    def priority(self, route: str, told: int) -> int:
+    def priority(self, route: str, configured: int) -> int:
         """Return the rank of a route's requests.
 
         Args:
             route: Name of the route.
-            told: Its rank by the configuration.
+            configured: Rank in the configuration, used if no order sets another.
         """
-        return self._book.priorities.get(route, told)
+        return self._book.priorities.get(route, configured)
 
     def region_for(
         self,
@@ -152,30 +164,31 @@
         priority: int,
         homes: frozenset[ids.Region],
     ) -> ids.Region:
-        """Return the region that is asked to serve the next request.
+        """Return the region to ask for the next request, by the shares of the shifts.
 
-        The choice is smooth: over any few requests each region gets its part.
+        The choice is smooth: each region gets its share within a few requests.
 
         Args:
             service: Service of the request.
-            source: Region of the instance that has it.
-            priority: Its rank.
-            homes: Regions that may serve it; empty for all.
+            source: Region that serves the request if no shift applies to it.
+            priority: Rank of the request.
+            homes: Regions that may serve the request; empty for all.
         """
-        parts = self._parts(service, source, priority, homes)
-        if not parts:
+        shares = self._shifted_shares(service, source, priority, homes)
+        if not shares:
             return source
-        parts[source] = max(0.0, 1.0 - sum(parts.values()))
-        return self._choice.choose((service, priority), parts)
+        shares[source] = max(0.0, 1.0 - sum(shares.values()))
+        return self._region_choice.choose((service, priority), shares)
 
-    def _parts(
+    def _shifted_shares(
         self,
         service: ids.Service,
         source: ids.Region,
         priority: int,
         homes: frozenset[ids.Region],
     ) -> dict[ids.Region, float]:
-        parts: dict[ids.Region, float] = {}
+        """Return the shares of matching requests that shifts move, by target region."""
+        shares: dict[ids.Region, float] = {}
         for shift in self._book.shifts:
             if shift.service != service or shift.source != source:
                 continue
@@ -183,22 +196,26 @@
                 continue
             share = self.share_of(shift.order)
             if share > 0:
-                parts[shift.target] = parts.get(shift.target, 0.0) + share
-        return parts
+                shares[shift.target] = shares.get(shift.target, 0.0) + share
+        return shares
 
 
-def _withhold(
-    found: dict[ids.Server, int],
+def _withhold_slots(
+    slots_by_server: dict[ids.Server, int],
     entries: Iterable[servers.ServerEntry],
     share: float,
     salt: str,
 ) -> None:
-    """Withhold a share of some servers' slots, whole servers first, always the same ones."""
+    """Add the slots that a drain withholds to those withheld already.
+
+    Servers are emptied one after the other, in an order that depends only on the salt and their
+    names, so a larger share withholds the same slots and more.
+    """
     ordered = sorted(
         entries, key=lambda entry: xxhash.xxh64_intdigest(f"{salt}\0{entry.name}".encode())
     )
-    left = math.floor(share * sum(entry.slots for entry in ordered) + 1e-9)
+    remaining = math.floor(share * sum(entry.slots for entry in ordered) + 1e-9)
     for entry in ordered:
-        taken = min(left, entry.slots - found.get(entry.name, 0))
-        found[entry.name] = found.get(entry.name, 0) + taken
-        left -= taken
+        count = min(remaining, entry.slots - slots_by_server.get(entry.name, 0))
+        slots_by_server[entry.name] = slots_by_server.get(entry.name, 0) + count
+        remaining -= count
