--- a/src/carobhook/coordination/ordering.py
+++ b/src/carobhook/coordination/ordering.py
@@ -22,6 +22,8 @@
 class OrderFault(Exception):  # noqa: N818 - an answer to an operator, not a fault of the program.
     """An order was not accepted, or it is not known yet whether it was.
 
+    This is an answer to the operator and does not mean that the program has a fault.
+
     Attributes:
         code: Result code that gives the reason.
         text: One sentence for the operator.
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -1,4 +1,4 @@
-"""Tests of carobhook.coordination.intake."""
+"""Tests of carobhook.coordination.intake and refusals."""
 
 import collections
 
@@ -28,79 +28,79 @@
     return routing.RoutingConfig(1, routes, {})
 
 
-def made(region=NORTH):
-    """Return an intake without orders of operators."""
+def make_router(region=NORTH):
+    """Return a router of requests without orders of operators."""
     return intake.Intake(region, steering.Steering({}))
 
 
 class TestPlace:
-    """Route, region and times of a request."""
+    """Route, region and deadlines of a request."""
 
     def test_longest_prefix_wins(self):
-        """Among the routes of the host, the longest prefix that begins the path counts."""
-        one = made()
-        given = config(ROUTE, DEEPER)
-        assert one.place(given, "shop.example", "/a/b/c", 1.0, 0.0).route is DEEPER
-        assert one.place(given, "Shop.Example:80", "/a/bc", 1.0, 0.0).route is ROUTE
+        """Of the routes of the host, the one with the longest matching prefix is chosen."""
+        router = make_router()
+        routes = config(ROUTE, DEEPER)
+        assert router.place(routes, "shop.example", "/a/b/c", 1.0, 0.0).route is DEEPER
+        assert router.place(routes, "Shop.Example:80", "/a/bc", 1.0, 0.0).route is ROUTE
 
     def test_unknown_path_is_404_and_no_configuration_503(self):
-        """An instance that knows no configuration promises that nothing ran."""
-        one = made()
-        unknown = one.place(config(ROUTE), "shop.example", "/b/", 1.0, 0.0)
+        """An unknown path gets 404; without a configuration, 503 says that nothing was run."""
+        router = make_router()
+        unknown = router.place(config(ROUTE), "shop.example", "/b/", 1.0, 0.0)
         assert (unknown.code, unknown.status) == (codes.Code.NO_ROUTE, 404)
-        early = one.place(None, "shop.example", "/a/", 1.0, 0.0)
+        early = router.place(None, "shop.example", "/a/", 1.0, 0.0)
         assert (early.code, early.status) == (codes.Code.NO_CONFIG, 503)
 
-    def test_timeout_and_time_left_both_bind(self):
-        """The answer is due at the earlier of the two."""
-        one = made()
-        assert one.place(config(ROUTE), "shop.example", "/a/", 9.0, 10.0).deadline_at == 12.0
-        assert one.place(config(ROUTE), "shop.example", "/a/", 1.0, 10.0).deadline_at < 11.0
-
-    def test_returning_request_has_less_time_to_its_target(self):
-        """What the client has waited already is taken off."""
-        one = made()
-        one.place(config(ROUTE), "shop.example", "/a/", 3.0, 0.0)
-        back = one.place(config(ROUTE), "shop.example", "/a/", 2.4, 1.0)
-        assert back.target_at == 1.0 + 0.5 - (3.0 - 2.4)
-
-    def test_homes_name_the_region(self):
-        """A route that another region must serve is asked for there."""
+    def test_timeout_and_time_left_limit_deadline(self):
+        """The deadline is the earlier of the route's timeout and the client's deadline."""
+        router = make_router()
+        assert router.place(config(ROUTE), "shop.example", "/a/", 9.0, 10.0).deadline_at == 12.0
+        assert router.place(config(ROUTE), "shop.example", "/a/", 1.0, 10.0).deadline_at < 11.0
+
+    def test_repeated_request_has_earlier_target(self):
+        """The target is earlier by the time that the client has waited already."""
+        router = make_router()
+        router.place(config(ROUTE), "shop.example", "/a/", 3.0, 0.0)
+        repeated = router.place(config(ROUTE), "shop.example", "/a/", 2.4, 1.0)
+        assert repeated.target_at == 1.0 + 0.5 - (3.0 - 2.4)
+
+    def test_home_region_is_chosen(self):
+        """A route that only another region may serve gets that region."""
         homed = attrs.evolve(ROUTE, homes=frozenset({SOUTH}))
-        placed = made().place(config(homed), "shop.example", "/a/", 1.0, 0.0)
-        assert placed.region == SOUTH
+        decision = make_router().place(config(homed), "shop.example", "/a/", 1.0, 0.0)
+        assert decision.region == SOUTH
 
 
-class TestPick:
-    """Shares of a split route."""
+class TestChooseService:
+    """Services of a route that is split by weights."""
 
-    def test_every_few_requests_follow_the_weights(self):
-        """Over any hundred requests each part gets its share within one request."""
+    def test_choices_follow_weights(self):
+        """In any hundred requests, each service gets its share within one request."""
         shares = tuple(
             routing.Share(ids.Service(name), weight)
             for name, weight in (("one", 70), ("two", 25), ("three", 5))
         )
         split = attrs.evolve(ROUTE, shares=shares)
-        one = made()
-        picked = [one.pick(split) for _ in range(1000)]
+        router = make_router()
+        chosen = [router.pick(split) for _ in range(1000)]
         for start in range(0, 900, 37):
-            counted = collections.Counter(picked[start : start + 100])
+            counted = collections.Counter(chosen[start : start + 100])
             assert abs(counted["one"] - 70) <= 1
             assert abs(counted["two"] - 25) <= 1
             assert abs(counted["three"] - 5) <= 1
 
 
 class TestRefusal:
-    """Statuses that promise."""
+    """Statuses that say whether a request was run."""
 
-    def test_no_promise_after_a_send(self):
-        """A refusal of what may have run never says that it did not."""
+    def test_status_after_send(self):
+        """The refusal of a request that may have run never says that it was not run."""
         sent = refusals.Refusal(codes.Code.DEADLINE_UNMEETABLE, may_have_run=True)
         assert sent.status == 502
         assert refusals.Refusal(codes.Code.DEADLINE_UNMEETABLE).status == 503
 
-    def test_promise_is_made_where_it_is_true(self):
-        """What waited until its deadline was not run, so its client may come back."""
+    def test_status_of_request_that_waited(self):
+        """A request that waited until its deadline was not run, so it may be sent again."""
         waited = refusals.Refusal(codes.Code.DEADLINE_PASSED_QUEUED)
         assert waited.status == 503
         sent = refusals.Refusal(codes.Code.DEADLINE_PASSED_QUEUED, may_have_run=True)
--- a/tests/test_ordering.py
+++ b/tests/test_ordering.py
@@ -16,39 +16,45 @@
 )
 
 
-def context(order="o1", author="selam", wall=1000.0, text="an order"):
-    """Return who gave an order."""
-    return ordering.OrderContext(ids.OrderId(order), author, text, wall, KNOWN)
+def context(order="o1", author="selam", wall_time=1000.0, text="an order"):
+    """Return the context of an order."""
+    return ordering.OrderContext(ids.OrderId(order), author, text, wall_time, KNOWN)
 
 
-def given(*texts, book=None, wall=1000.0):
-    """Return the orders in force after some were given one after the other."""
-    book = book or orders.OrderBook()
+def apply_all(*texts, current=None, wall_time=1000.0):
+    """Return the orders in force after several commands in turn."""
+    current = current or orders.OrderBook()
     for number, text in enumerate(texts, start=1):
-        book = ordering.apply(language.parse(text), book, context(f"o{number}", wall=wall))
-    return book
+        current = ordering.apply(
+            language.parse(text), current, context(f"o{number}", wall_time=wall_time)
+        )
+    return current
 
 
 class TestApply:
-    """What orders make of the orders in force."""
+    """How commands change the orders in force."""
 
-    def test_each_order_is_a_version_with_its_author(self):
-        """The audit trail has who, when and what."""
-        book = given("set cap 20% per 10s", "shift svc from north to south by 10%")
-        assert book.version == 2
-        assert [(c.version, c.author, c.at) for c in book.changes] == [
+    def test_each_order_makes_a_version_with_its_author(self):
+        """The audit trail records the version, author and time of each order."""
+        current = apply_all("set cap 20% per 10s", "shift svc from north to south by 10%")
+        assert current.version == 2
+        assert [(c.version, c.author, c.at) for c in current.changes] == [
             (1, "selam", 1000.0),
             (2, "selam", 1000.0),
         ]
-        assert book.cap_of(book.shifts[0]) == orders.Cap(0.2, 10.0)
+        assert current.cap_of(current.shifts[0]) == orders.Cap(0.2, 10.0)
 
     def test_audit_trail_is_bounded(self):
-        """The oldest changes are forgotten."""
-        book = given(*["set cap 20% per 10s"] * 205)
-        assert (book.version, len(book.changes), book.changes[0].version) == (205, 200, 6)
+        """Only the latest 200 changes are kept."""
+        current = apply_all(*["set cap 20% per 10s"] * 205)
+        assert (current.version, len(current.changes), current.changes[0].version) == (
+            205,
+            200,
+            6,
+        )
 
     @pytest.mark.parametrize(
-        ("text", "code", "said"),
+        ("text", "code", "reason"),
         [
             (
                 "shift nothing from north to south by 1%",
@@ -68,133 +74,133 @@
             ("unset rank for route r-buy", "ORDER_INVALID", "there are: none"),
         ],
     )
-    def test_refusals_say_why(self, text, code, said):
-        """A refused order names what is wrong, and lists what exists."""
-        with pytest.raises(ordering.OrderFault, match=said) as caught:
-            given(text)
+    def test_refusal_gives_reason(self, text, code, reason):
+        """A refusal says what is wrong, and lists the known names if a name is unknown."""
+        with pytest.raises(ordering.OrderFault, match=reason) as caught:
+            apply_all(text)
         assert caught.value.code is codes.Code[code]
 
     def test_emergency_cap_may_be_wider(self):
-        """It is kept with the order."""
-        book = given("shift svc from north to south by 1% emergency cap 50% per 10s")
-        assert book.shifts[0].cap == orders.Cap(0.5, 10.0)
+        """An emergency cap may be wider than the general one, and is stored with the order."""
+        current = apply_all("shift svc from north to south by 1% emergency cap 50% per 10s")
+        assert current.shifts[0].cap == orders.Cap(0.5, 10.0)
 
-    def test_no_more_than_all_can_be_shifted(self):
-        """Shifts of the same requests add up to the whole at most."""
+    def test_shifts_total_at_most_all_requests(self):
+        """The shares of shifts of the same requests must not add up to more than 100%."""
         with pytest.raises(ordering.OrderFault, match="60% of svc of north are moved already"):
-            given(
+            apply_all(
                 "shift svc from north to south by 60%", "shift svc from north to south by 50%"
             )
 
     def test_last_failure_domain_cannot_be_drained(self):
-        """Some failure domain must serve."""
+        """A drain that would leave no failure domain to serve is refused."""
         with pytest.raises(ordering.OrderFault) as caught:
-            given("drain region south", "drain region north")
+            apply_all("drain region south", "drain region north")
         assert caught.value.code is codes.Code.ORDER_OVERLOAD
 
-    def test_scheduled_drains_count_among_those_that_leave_nothing(self):
-        """A drain that will end is a drain until then."""
+    def test_drain_with_end_counts_as_drain(self):
+        """A drain with an end counts until that time when another drain is checked."""
         with pytest.raises(ordering.OrderFault) as caught:
-            given("drain region south until 23:00", "drain region north")
+            apply_all("drain region south until 23:00", "drain region north")
         assert caught.value.code is codes.Code.ORDER_OVERLOAD
 
-    def test_undrain_and_cancel_keep_what_still_returns(self):
-        """An ended order stays until what it moved has returned, then it is forgotten."""
-        book = given("drain region north", "undrain region north")
-        assert book.drains[0].span == orders.Span(1000.0, 1000.0)
-        assert given("set cap 5% per 10s", book=book, wall=1010.0).drains
-        assert not given("set cap 5% per 10s", book=book, wall=9999.0).drains
-        book = given("shift svc from north to south by 10%", "cancel o1")
-        assert book.shifts[0].span.ends_at == 1000.0
-
-    def test_cancelled_before_it_begins(self):
-        """A drain that has not begun never does."""
-        book = given("drain region north at 23:00 until 23:30", "undrain region north")
-        assert not given("set cap 5% per 10s", book=book, wall=1061.0).drains
-
-    def test_times_of_day_come_next(self):
-        """A time that has passed today is tomorrow's."""
+    def test_ended_orders_are_kept_until_returned(self):
+        """An ended order is kept until all that it moved has returned, and is then removed."""
+        current = apply_all("drain region north", "undrain region north")
+        assert current.drains[0].span == orders.Span(1000.0, 1000.0)
+        assert apply_all("set cap 5% per 10s", current=current, wall_time=1010.0).drains
+        assert not apply_all("set cap 5% per 10s", current=current, wall_time=9999.0).drains
+        current = apply_all("shift svc from north to south by 10%", "cancel o1")
+        assert current.shifts[0].span.ends_at == 1000.0
+
+    def test_undrain_before_begin(self):
+        """A drain that is undone before its begin never takes effect, and is removed."""
+        current = apply_all("drain region north at 23:00 until 23:30", "undrain region north")
+        assert not apply_all("set cap 5% per 10s", current=current, wall_time=1061.0).drains
+
+    def test_next_occurrence_of_time_of_day(self):
+        """A time of day that has passed today means tomorrow."""
         noon = 12 * 3600.0
-        book = given("drain region north at 11:00 until 13:00", wall=noon)
+        current = apply_all("drain region north at 11:00 until 13:00", wall_time=noon)
         day = 24 * 3600.0
-        assert book.drains[0].span == orders.Span(day + 11 * 3600, day + 13 * 3600)
+        assert current.drains[0].span == orders.Span(day + 11 * 3600, day + 13 * 3600)
 
-    def test_orders_survive_the_store(self):
-        """What is read back is what was written."""
-        book = given(
+    def test_orders_round_trip_through_codec(self):
+        """Decoding encoded orders returns equal orders."""
+        current = apply_all(
             "set cap 20% per 10s for service svc",
             "set rank 2 for route r-buy",
             "shift svc from north to south by 10% cap 5% per 10s for rank 1",
             "drain server s1 at 10:00 until 11:00",
         )
-        assert order_codec.book(order_codec.plain(book)) == book
+        assert order_codec.book(order_codec.plain(current)) == current
 
     @pytest.mark.parametrize("value", [None, [], {"version": "x"}, {"shifts": [3]}])
-    def test_malformed_orders_are_told_apart(self, value):
-        """What another writer left there is a fault of its own kind."""
+    def test_malformed_orders_raise_own_error(self, value):
+        """A stored value that does not hold orders raises an error of its own type."""
         with pytest.raises(order_codec.MalformedOrdersError):
             order_codec.book(value)
 
 
 class TestOrderStore:
-    """Orders in the store, whatever becomes of the calls."""
+    """Orders in the store when writes conflict, calls fail or answers are lost."""
 
     def setup_method(self):
-        """Make a store."""
+        """Create an empty store."""
         self.clock = task.Clock()
         self.access = store_access.made(self.clock)
         self.orders = order_store.OrderStore(self.access, lambda: defer.succeed(None))
 
     def submit(self, text, order="o1", author="selam", base=None):
-        """Give an order; return what came of it."""
+        """Submit an order; return the orders in force after it, or the failure."""
         command = language.parse(text)
         submitted = self.orders.submit(command, context(order, author, text=text), base)
-        found = []
-        defer.ensureDeferred(submitted).addBoth(found.append)
-        return found[0]
+        results = []
+        defer.ensureDeferred(submitted).addBoth(results.append)
+        return results[0]
 
-    def test_two_at_once_are_both_kept(self):
-        """The one that comes second is judged by what the first left."""
+    def test_concurrent_orders_are_both_kept(self):
+        """The order that is written second is applied to the orders that the first left."""
         other = order_store.OrderStore(self.access, lambda: defer.succeed(None))
-        raced = []
+        concurrent_results = []
 
-        def race():
+        def submit_concurrently():
             self.access.before_write = lambda: None
             command = language.parse("set cap 20% per 10s")
             second = other.submit(command, context("o2", "dawit"), None)
-            defer.ensureDeferred(second).addBoth(raced.append)
+            defer.ensureDeferred(second).addBoth(concurrent_results.append)
 
-        self.access.before_write = race
-        book = self.submit("shift svc from north to south by 10%")
-        assert raced[0].version == 1
-        assert [change.order for change in book.changes] == ["o2", "o1"]
-        assert book.cap == orders.Cap(0.2, 10.0)
+        self.access.before_write = submit_concurrently
+        current = self.submit("shift svc from north to south by 10%")
+        assert concurrent_results[0].version == 1
+        assert [change.order for change in current.changes] == ["o2", "o1"]
+        assert current.cap == orders.Cap(0.2, 10.0)
 
-    def test_base_names_the_change_that_came_first(self):
-        """An operator who saw an older version is told what changed."""
+    def test_outdated_base_is_refused(self):
+        """An operator who saw an older version gets the latest change as the reason."""
         self.submit("set cap 20% per 10s", "o1", "dawit")
-        fault = self.submit("set cap 30% per 10s", "o2", base=ids.Version(0)).value
-        assert fault.code is codes.Code.ORDER_CONFLICT
-        assert "order o1 of dawit came first as version 1" in fault.text
+        error = self.submit("set cap 30% per 10s", "o2", base=ids.Version(0)).value
+        assert error.code is codes.Code.ORDER_CONFLICT
+        assert "order o1 of dawit came first as version 1" in error.text
 
-    def test_lost_answer_makes_no_second_change(self):
-        """The same order is found in the store, and not made again."""
+    def test_lost_answer_makes_one_change(self):
+        """After a lost answer the order is found in the store and not applied again."""
         self.access.lost_answers = 1
-        book = self.submit("shift svc from north to south by 10%")
-        assert (book.version, len(book.shifts)) == (1, 1)
+        current = self.submit("shift svc from north to south by 10%")
+        assert (current.version, len(current.shifts)) == (1, 1)
 
-    def test_same_id_is_the_same_order(self):
-        """A client that repeats its order gets the first answer."""
+    def test_repeated_id_is_applied_once(self):
+        """A client that repeats an order gets the first result."""
         first = self.submit("shift svc from north to south by 10%")
         assert self.submit("shift svc from north to south by 10%") == first
 
-    def test_store_down(self):
-        """Nothing was changed, and the operator is told so."""
+    def test_store_unavailable(self):
+        """If the store cannot be reached, nothing changes and the result code says so."""
         self.access.down = True
         assert self.submit("set cap 20% per 10s").value.code is codes.Code.ORDER_STORE_DOWN
 
-    def test_outcome_that_stays_unknown_is_said(self):
-        """When the store goes away after a lost answer, nobody claims either way."""
+    def test_unknown_outcome_is_reported(self):
+        """If the store fails after an answer was lost, the outcome is reported as unknown."""
         self.access.lost_answers = 1
 
         original = self.access._written
@@ -204,6 +210,6 @@
             return original(version)
 
         self.access._written = written
-        fault = self.submit("set cap 20% per 10s").value
-        assert fault.code is codes.Code.ORDER_UNKNOWN
-        assert fault.code.run is codes.Run.UNKNOWN
+        error = self.submit("set cap 20% per 10s").value
+        assert error.code is codes.Code.ORDER_UNKNOWN
+        assert error.code.run is codes.Run.UNKNOWN
--- a/tests/test_paces.py
+++ b/tests/test_paces.py
@@ -1,4 +1,4 @@
-"""Tests of carobhook.coordination.paces and steering: what orders move, and how fast."""
+"""Tests of carobhook.coordination.paces and steering: how orders take effect."""
 
 import itertools
 
@@ -30,11 +30,11 @@
     return orders.Drain(order, "selam", kind, name, **fields)
 
 
-def steered(*moves, cap=CAP, **fields):
-    """Return steering with some orders in force."""
-    one = steering.Steering(REGIONS)
-    one.advance(SERVICES, 0.0, -1.0)
-    one.offer(
+def steering_with(*moves, cap=CAP, **fields):
+    """Return the steering of an instance that started before some orders were given."""
+    instance = steering.Steering(REGIONS)
+    instance.advance(SERVICES, 0.0, -1.0)
+    instance.offer(
         orders.OrderBook(
             ids.Version(1),
             tuple(m for m in moves if isinstance(m, orders.Shift)),
@@ -43,10 +43,10 @@
             **fields,
         )
     )
-    return one
+    return instance
 
 
-def view(name, zone="north-a", slots=4):
+def server_view(name, zone="north-a", slots=4):
     """Return a server that may be used."""
     entry = servers.ServerEntry(
         ids.Server(name), "svc", zone, f"{name}:1", slots, servers.ServerState.READY, 0.0
@@ -55,22 +55,25 @@
 
 
 class TestScheduledShare:
-    """The share that should have moved at a time."""
+    """The share that an order should have moved by a given time."""
 
-    def test_steps_of_the_cap_in_each_window(self):
-        """The first step is at once, each other one a window later."""
+    def test_share_grows_by_cap_each_window(self):
+        """The first step is taken at once, and each further one a window later."""
         span = orders.Span(100.0)
         shares = [paces.scheduled_share(0.25, span, CAP, at) for at in (99, 100, 109, 110, 120)]
         assert [round(share, 9) for share in shares] == [0.0, 0.1, 0.1, 0.2, 0.25]
 
-    def test_return_is_half_as_fast(self):
-        """What an ended order moved returns in half steps, from where it had come to."""
+    def test_return_at_half_rate(self):
+        """After its end an order returns, in half steps, the share that it had reached."""
         span = orders.Span(0.0, 15.0)
-        at = [paces.scheduled_share(0.5, span, CAP, wall) for wall in (14, 15, 25, 35, 45)]
+        at = [
+            paces.scheduled_share(0.5, span, CAP, wall_time)
+            for wall_time in (14, 15, 25, 35, 45)
+        ]
         assert [round(share, 9) for share in at] == [0.2, 0.15, 0.1, 0.05, 0.0]
 
-    def test_duration(self):
-        """The first step is at once, so the time is one window less than the steps."""
+    def test_duration_excludes_first_window(self):
+        """The first step is taken at once, so n steps take n - 1 windows."""
         assert [paces.duration_s(goal, CAP) for goal in (0.1, 0.25, 0.3)] == [0.0, 20.0, 20.0]
 
 
@@ -80,18 +83,18 @@
     @hypothesis.settings(max_examples=60, derandomize=True, deadline=None, database=None)
     @hypothesis.given(
         goals=strategies.lists(strategies.floats(0.05, 0.6), min_size=1, max_size=3),
-        steps=strategies.lists(strategies.floats(-200.0, 200.0), min_size=1, max_size=6),
+        jumps=strategies.lists(strategies.floats(-200.0, 200.0), min_size=1, max_size=6),
     )
-    def test_whatever_the_wall_clock_does(self, goals, steps):
-        """Several orders, and a wall clock that steps to and fro, move the cap at most."""
+    def test_cap_holds_across_wall_clock_jumps(self, goals, jumps):
+        """Several orders together stay within the cap when the wall clock jumps either way."""
         moves = [shift(goal, f"o{number}") for number, goal in enumerate(goals)]
-        one = steered(*moves)
-        wall, history = 0.0, []
+        instance = steering_with(*moves)
+        wall_time, history = 0.0, []
         for tick in range(600):
             now = tick * 0.1
-            wall += 0.1 + (steps[(tick // 100) % len(steps)] if tick % 100 == 50 else 0.0)
-            one.advance(SERVICES, now, wall)
-            history.append((now, [one.share_of(move.order) for move in moves]))
+            wall_time += 0.1 + (jumps[(tick // 100) % len(jumps)] if tick % 100 == 50 else 0.0)
+            instance.advance(SERVICES, now, wall_time)
+            history.append((now, [instance.share_of(move.order) for move in moves]))
         changes = [
             (after[0], sum(abs(a - b) for a, b in zip(after[1], before[1], strict=True)))
             for before, after in itertools.pairwise(history)
@@ -100,91 +103,93 @@
             moved = sum(share for at, share in changes if start <= at < start + CAP.window_s)
             assert moved <= CAP.share + 1e-9
 
-    def test_new_instance_takes_up_where_the_others_are(self):
-        """An instance that starts while an order is half done moves no traffic back."""
-        one = steering.Steering(REGIONS)
-        one.offer(orders.OrderBook(ids.Version(1), (shift(0.5),), cap=CAP))
-        one.advance(SERVICES, 0.0, 35.0)
-        assert round(one.share_of("o1"), 9) == 0.4
+    def test_new_instance_starts_at_scheduled_share(self):
+        """An instance that starts while an order is partly applied moves no traffic back."""
+        instance = steering.Steering(REGIONS)
+        instance.offer(orders.OrderBook(ids.Version(1), (shift(0.5),), cap=CAP))
+        instance.advance(SERVICES, 0.0, 35.0)
+        assert round(instance.share_of("o1"), 9) == 0.4
 
 
 class TestShifts:
-    """Requests that go to another region."""
+    """Requests that shifts send to another region."""
 
-    def test_each_region_gets_its_part(self):
-        """Over a few requests the parts are right, without runs of one region."""
-        one = steered(shift(0.3, cap=orders.Cap(1.0, 1.0)))
-        one.advance(SERVICES, 1.0, 1.0)
-        chosen = [one.region_for("svc", NORTH, 1, frozenset()) for _ in range(100)]
+    def test_each_region_gets_its_share(self):
+        """The shares hold within any ten requests, so no region gets long runs of requests."""
+        instance = steering_with(shift(0.3, cap=orders.Cap(1.0, 1.0)))
+        instance.advance(SERVICES, 1.0, 1.0)
+        chosen = [instance.region_for("svc", NORTH, 1, frozenset()) for _ in range(100)]
         assert chosen.count(SOUTH) == 30
         assert all(2 <= chosen[i : i + 10].count(SOUTH) <= 4 for i in range(90))
-        assert one.region_for("svc", SOUTH, 1, frozenset()) == SOUTH
-        assert one.region_for("other", NORTH, 1, frozenset()) == NORTH
-
-    def test_homes_and_ranks_bind(self):
-        """What must stay in its region stays, and so do other ranks."""
-        one = steered(shift(1.0, cap=orders.Cap(1.0, 1.0), priority=2))
-        one.advance(SERVICES, 1.0, 1.0)
-        assert one.region_for("svc", NORTH, 2, frozenset()) == SOUTH
-        assert one.region_for("svc", NORTH, 2, frozenset({NORTH})) == NORTH
-        assert one.region_for("svc", NORTH, 0, frozenset()) == NORTH
-
-    def test_older_orders_never_replace_newer_ones(self):
-        """An order in force never reverts because an old version is heard again."""
-        one = steered(shift())
-        assert not one.offer(orders.OrderBook(ids.Version(1)))
-        assert not one.offer(orders.OrderBook(ids.Version(0)))
-        assert one.book.shifts
-
-    def test_rank_of_a_route_goes_before_the_configuration(self):
-        """An order sets the rank of a route; others keep theirs."""
-        one = steered(priorities={"r-buy": 0})
-        assert (one.priority("r-buy", 2), one.priority("r-other", 2)) == (0, 2)
+        assert instance.region_for("svc", SOUTH, 1, frozenset()) == SOUTH
+        assert instance.region_for("other", NORTH, 1, frozenset()) == NORTH
+
+    def test_home_regions_and_rank_limit_shift(self):
+        """Requests bound to their home region and requests of other ranks are not shifted."""
+        instance = steering_with(shift(1.0, cap=orders.Cap(1.0, 1.0), priority=2))
+        instance.advance(SERVICES, 1.0, 1.0)
+        assert instance.region_for("svc", NORTH, 2, frozenset()) == SOUTH
+        assert instance.region_for("svc", NORTH, 2, frozenset({NORTH})) == NORTH
+        assert instance.region_for("svc", NORTH, 0, frozenset()) == NORTH
+
+    def test_older_version_is_ignored(self):
+        """An old version that arrives again does not replace newer orders in force."""
+        instance = steering_with(shift())
+        assert not instance.offer(orders.OrderBook(ids.Version(1)))
+        assert not instance.offer(orders.OrderBook(ids.Version(0)))
+        assert instance.book.shifts
+
+    def test_ordered_rank_overrides_configured_one(self):
+        """An order sets the rank of one route; the other routes keep theirs."""
+        instance = steering_with(priorities={"r-buy": 0})
+        assert (instance.priority("r-buy", 2), instance.priority("r-other", 2)) == (0, 2)
 
 
 class TestDrains:
-    """Servers that are left without new work."""
+    """Servers that drains leave without new work."""
 
-    def test_slots_are_withheld_step_by_step(self):
-        """The share withheld is that of the schedule, over all servers together."""
-        one = steered(drain(), cap=orders.Cap(0.25, 10.0))
-        views = [view(f"s{number}") for number in range(4)]
-        found = []
+    def test_slots_are_withheld_in_steps(self):
+        """The slots withheld of all servers together follow the scheduled share."""
+        instance = steering_with(drain(), cap=orders.Cap(0.25, 10.0))
+        views = [server_view(f"s{number}") for number in range(4)]
+        counts = []
         for now in (0.0, 10.0, 20.0, 30.0):
-            one.advance(SERVICES, now, now)
-            found.append(sum(one.withheld("svc", NORTH, views).values()))
-        assert found == [4, 8, 12, 16]
-        assert one.empties(views[0].entry)
-        assert not one.empties(view("s9", "south-a").entry)
-
-    def test_same_slots_stay_withheld(self):
-        """Each step adds to the slots of the step before."""
-        one = steered(drain(), cap=orders.Cap(0.25, 10.0))
-        views = [view(f"s{number}") for number in range(4)]
+            instance.advance(SERVICES, now, now)
+            counts.append(sum(instance.withheld("svc", NORTH, views).values()))
+        assert counts == [4, 8, 12, 16]
+        assert instance.empties(views[0].entry)
+        assert not instance.empties(server_view("s9", "south-a").entry)
+
+    def test_withheld_slots_only_grow(self):
+        """Slots that one step withholds stay withheld in the next."""
+        instance = steering_with(drain(), cap=orders.Cap(0.25, 10.0))
+        views = [server_view(f"s{number}") for number in range(4)]
         before = {}
         for now in (0.0, 10.0, 20.0, 30.0):
-            one.advance(SERVICES, now, now)
-            after = one.withheld("svc", NORTH, views)
+            instance.advance(SERVICES, now, now)
+            after = instance.withheld("svc", NORTH, views)
             assert all(after[name] >= count for name, count in before.items())
             before = after
 
-    def test_server_and_domain(self):
-        """Only what the drain names is emptied."""
+    def test_drain_of_server_and_of_domain(self):
+        """Only the server or failure domain that a drain names is drained."""
         at_once = orders.Cap(1.0, 1.0)
-        one = steered(
+        instance = steering_with(
             drain(orders.DrainKind.SERVER, "s1", cap=at_once),
             drain(orders.DrainKind.FAILURE_DOMAIN, "north-b", "d2", cap=at_once),
         )
-        one.advance(SERVICES, 1.0, 1.0)
+        instance.advance(SERVICES, 1.0, 1.0)
         names = [("s1", "north-a"), ("s2", "north-a"), ("s3", "north-b"), ("s4", "south-a")]
-        emptied = [name for name, zone in names if one.empties(view(name, zone).entry)]
-        assert emptied == ["s1", "s3"]
+        drained = [
+            name for name, zone in names if instance.empties(server_view(name, zone).entry)
+        ]
+        assert drained == ["s1", "s3"]
 
-    def test_schedule(self):
-        """A drain that has not begun withholds nothing; one that has ended returns."""
-        one = steered(drain(span=orders.Span(50.0, 60.0), cap=orders.Cap(1.0, 1.0)))
+    def test_scheduled_drain(self):
+        """A drain has no effect before its begin, and its slots return after its end."""
+        instance = steering_with(drain(span=orders.Span(50.0, 60.0), cap=orders.Cap(1.0, 1.0)))
         shares = []
         for now in (49.0, 51.0, 59.0, 61.0, 63.0):
-            one.advance(SERVICES, now, now)
-            shares.append(round(one.share_of("d1"), 9))
+            instance.advance(SERVICES, now, now)
+            shares.append(round(instance.share_of("d1"), 9))
         assert shares == [0.0, 1.0, 1.0, 0.0, 0.0]
