--- a/src/carobhook/coordination/order_tables.py
+++ b/src/carobhook/coordination/operator_queries.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from carobhook.coordination import catalog, ordering, paces, steering
+from carobhook.coordination import catalog, order_commands, order_rollout, steering
 from carobhook.protocol import slot_messages
 from carobhook.state import codes, ids, members, orders, routing, statements
 
@@ -34,14 +34,14 @@
 
 
 @attrs.frozen
-class View:
+class InstanceView:
     """State of an instance that queries are answered from.
 
     Attributes:
         orders: Orders in force here, and the share of each that has been applied.
         config: Configuration in force, None before the first.
         servers: Servers that may be used.
-        live: Live instances, from which a message came recently.
+        live_members: Live instances, from which a message came recently.
         loads: Loads of the shards, as reported by their dispatchers.
         regions: Regions by failure domain.
     """
@@ -49,7 +49,7 @@
     orders: steering.Steering
     config: routing.RoutingConfig | None
     servers: Sequence[catalog.ServerView]
-    live: Sequence[members.Member]
+    live_members: Sequence[members.Member]
     loads: Sequence[slot_messages.ShardLoad]
     regions: dict[ids.FailureDomain, ids.Region]
 
@@ -60,7 +60,7 @@
 
 
 @functools.singledispatch
-def answer(query: object, view: View) -> Answer:
+def answer(query: object, view: InstanceView) -> Answer:
     """Return the answer to a query.
 
     Args:
@@ -71,48 +71,52 @@
 
 
 @answer.register
-def _(query: statements.Show, view: View) -> Answer:
+def _(query: statements.Show, view: InstanceView) -> Answer:
     columns, rows = _TABLES[query.subject](view)
-    return Answer(codes.Code.QUERY_OK, "", view.orders.book.version, columns, tuple(rows))
+    return Answer(codes.Code.QUERY_OK, "", view.orders.in_force.version, columns, tuple(rows))
 
 
 @answer.register
-def _(query: statements.ShowChange, view: View) -> Answer:
-    changes = view.orders.book.changes
+def _(query: statements.ShowChange, view: InstanceView) -> Answer:
+    changes = view.orders.in_force.changes
     change = next((c for c in changes if c.version == query.version), None)
     if change is None:
-        text = f"version {query.version} is not kept; the last is {view.orders.book.version}"
+        text = (
+            f"version {query.version} is not kept; the last is {view.orders.in_force.version}"
+        )
         return Answer(codes.Code.ORDER_INVALID, text)
     columns, rows = _change_rows((change,))
     return Answer(codes.Code.QUERY_OK, "", change.version, columns, tuple(rows))
 
 
 @answer.register
-def _(query: statements.Wait, view: View) -> Answer:
-    lagging = missing(query.version, view.live)
+def _(query: statements.Wait, view: InstanceView) -> Answer:
+    lagging = instances_without(query.version, view.live_members)
     code = codes.Code.ORDER_ACCEPTED if lagging else codes.Code.ORDER_IN_FORCE
-    total = len(view.live)
+    total = len(view.live_members)
     reached = f"{total - len(lagging)} of {total} instances"
     text = f"version {query.version} is in force in {reached}"
     rows = tuple((name,) for name in lagging)
     return Answer(code, text, query.version, ("missing",), rows)
 
 
-def missing(version: ids.Version, live: Sequence[members.Member]) -> list[ids.InstanceId]:
+def instances_without(
+    version: ids.Version, live_members: Sequence[members.Member]
+) -> list[ids.InstanceId]:
     """Return the names of the instances in which a version is not in force yet."""
-    return [member.name for member in live if member.orders_version < version]
+    return [member.name for member in live_members if member.orders_version < version]
 
 
 @answer.register
-def _(query: statements.ExplainService, view: View) -> Answer:
-    in_force = view.orders.book
+def _(query: statements.ExplainService, view: InstanceView) -> Answer:
+    in_force = view.orders.in_force
     columns = ("served by", "share", "wanted", "rank", "why", "author")
     moved = 0.0
     rows: list[Row] = []
     for shift in in_force.shifts:
         if (shift.service, shift.source) != (query.service, query.region):
             continue
-        share = view.orders.share_of(shift.order)
+        share = view.orders.applied_share(shift.order)
         moved += share if shift.priority is None else 0.0
         rank = "all" if shift.priority is None else shift.priority
         why = f"shift {shift.order}"
@@ -121,7 +125,7 @@
         )
     rows.insert(0, (query.region, _percent(1.0 - moved), "", "all", "its own region", ""))
     rows += [
-        (f"not {drain.name}", _percent(view.orders.share_of(drain.order)), "100%", "all",
+        (f"not {drain.name}", _percent(view.orders.applied_share(drain.order)), "100%", "all",
          f"drain {drain.order}", drain.author)
         for drain in in_force.drains
     ]  # fmt: skip
@@ -130,7 +134,7 @@
 
 
 @answer.register
-def _(query: statements.ExplainRegion, view: View) -> Answer:
+def _(query: statements.ExplainRegion, view: InstanceView) -> Answer:
     columns = ("service", "slots", "usable", "running", "waiting", "demand", "binds")
     rows = [
         (load.service, load.slots, load.usable, load.running, load.waiting,
@@ -140,12 +144,12 @@
     ]  # fmt: skip
     drain_texts = [
         f"{drain.kind.value} {drain.name} ({drain.order} of {drain.author})"
-        for drain in view.orders.book.drains
-        if view.orders.share_of(drain.order) > 0
+        for drain in view.orders.in_force.drains
+        if view.orders.applied_share(drain.order) > 0
         and query.region in (drain.name, view.regions.get(ids.FailureDomain(drain.name)))
     ]
     text = "drained: " + ", ".join(drain_texts) if drain_texts else "no drain holds here"
-    return Answer(codes.Code.QUERY_OK, text, view.orders.book.version, columns, tuple(rows))
+    return Answer(codes.Code.QUERY_OK, text, view.orders.in_force.version, columns, tuple(rows))
 
 
 def _limiting_factor(load: slot_messages.ShardLoad) -> str:
@@ -159,7 +163,9 @@
     return ""
 
 
-def dry_run(command: statements.Command, view: View, context: ordering.OrderContext) -> Answer:
+def dry_run(
+    command: statements.Command, view: InstanceView, context: order_commands.OrderContext
+) -> Answer:
     """Return the slots and demand to expect once a command has taken full effect.
 
     The command itself is not carried out.
@@ -170,9 +176,9 @@
         context: Author, time and id of the order.
 
     Raises:
-        ordering.OrderFault: The command would not be accepted.
+        order_commands.OrderError: The command would not be accepted.
     """
-    after = ordering.apply(command, view.orders.book, context)
+    after = order_commands.apply(command, view.orders.in_force, context)
     columns = ("service", "region", "slots", "demand", "slots then", "demand then", "use then")
     rows = []
     overloaded = []
@@ -198,7 +204,7 @@
         else "there are slots for all"
     )
     text += f"; {_duration_text(command, after, context)}"
-    version = view.orders.book.version
+    version = view.orders.in_force.version
     return Answer(codes.Code.QUERY_OK, text, version, columns, tuple(rows))
 
 
@@ -207,11 +213,11 @@
 
     Those whose drain has yet to begin are included.
     """
-    return {drain.name for drain in current.drains if ordering.is_open(drain, wall_time)}
+    return {drain.name for drain in current.drains if order_commands.is_open(drain, wall_time)}
 
 
 def _undrained_slots(
-    drained: set[str], service: ids.Service, region: ids.Region, view: View
+    drained: set[str], service: ids.Service, region: ids.Region, view: InstanceView
 ) -> int:
     return sum(
         server.entry.slots
@@ -232,7 +238,7 @@
     now = {load.region: load.demand or 0.0 for load in loads}
     projected = dict(now)
     for shift in current.shifts:
-        is_counted = shift.service == service and ordering.is_open(shift, wall_time)
+        is_counted = shift.service == service and order_commands.is_open(shift, wall_time)
         if is_counted and shift.source in now:
             projected[shift.source] -= shift.share * now[shift.source]
             projected[shift.target] = (
@@ -242,7 +248,7 @@
 
 
 def _duration_text(
-    command: statements.Command, after: orders.OrderBook, context: ordering.OrderContext
+    command: statements.Command, after: orders.OrderBook, context: order_commands.OrderContext
 ) -> str:
     """Return the text on how long the order of a context takes to have full effect.
 
@@ -253,22 +259,22 @@
         return "in force within seconds"
     goal = order_moves[0].share if isinstance(order_moves[0], orders.Shift) else 1.0
     cap = after.cap_of(order_moves[0])
-    return f"takes about {paces.duration_s(goal, cap):.0f} s at {_cap_text(cap)}"
+    return f"takes about {order_rollout.duration_s(goal, cap):.0f} s at {_cap_text(cap)}"
 
 
 # Tables.
 
 
-def _instances(view: View) -> tuple[tuple[str, ...], list[Row]]:
+def _instances(view: InstanceView) -> tuple[tuple[str, ...], list[Row]]:
     columns = ("instance", "region", "failure domain", "phase", "config", "orders", "http")
     return columns, [
         (m.name, m.region, m.failure_domain, m.phase.value, f"{m.version:08x}",
          m.orders_version, m.http)
-        for m in view.live
+        for m in view.live_members
     ]  # fmt: skip
 
 
-def _servers(view: View) -> tuple[tuple[str, ...], list[Row]]:
+def _servers(view: InstanceView) -> tuple[tuple[str, ...], list[Row]]:
     columns = ("server", "service", "region", "failure domain", "state", "slots", "address")
     entries = sorted((server.entry for server in view.servers), key=lambda entry: entry.name)
     return columns, [
@@ -278,7 +284,7 @@
     ]  # fmt: skip
 
 
-def _regions(view: View) -> tuple[tuple[str, ...], list[Row]]:
+def _regions(view: InstanceView) -> tuple[tuple[str, ...], list[Row]]:
     columns = ("region", "instances", "servers", "slots", "running", "waiting")
     rows: list[Row] = []
     for region in sorted(set(view.regions.values())):
@@ -287,7 +293,7 @@
         rows.append(
             (
                 region,
-                sum(member.region == region for member in view.live),
+                sum(member.region == region for member in view.live_members),
                 len(in_region),
                 sum(server.entry.slots for server in in_region),
                 sum(load.running for load in loads),
@@ -297,7 +303,7 @@
     return columns, rows
 
 
-def _traffic(view: View) -> tuple[tuple[str, ...], list[Row]]:
+def _traffic(view: InstanceView) -> tuple[tuple[str, ...], list[Row]]:
     columns = ("service", "region", "slots", "usable", "running", "waiting", "demand", "lent",
                "withheld")  # fmt: skip
     ordered = sorted(view.loads, key=lambda load: (load.service, load.region))
@@ -309,56 +315,56 @@
     ]  # fmt: skip
 
 
-def _routes(view: View) -> tuple[tuple[str, ...], list[Row]]:
+def _routes(view: InstanceView) -> tuple[tuple[str, ...], list[Row]]:
     columns = ("route", "host", "prefix", "services", "rank", "target s", "timeout s", "homes")
     return columns, [
         (r.name, r.host, r.prefix, " ".join(f"{s.service}:{s.weight:g}" for s in r.shares),
-         view.orders.priority(r.name, r.priority), r.target_s, r.timeout_s,
+         view.orders.route_priority(r.name, r.priority), r.target_s, r.timeout_s,
          " ".join(sorted(r.homes)))
         for r in view.routes
     ]  # fmt: skip
 
 
-def _ranks(view: View) -> tuple[tuple[str, ...], list[Row]]:
-    priorities = view.orders.book.priorities
+def _ranks(view: InstanceView) -> tuple[tuple[str, ...], list[Row]]:
+    priorities = view.orders.in_force.priorities
     return ("route", "rank", "by the configuration"), [
         (r.name, priorities.get(r.name, r.priority), r.priority) for r in view.routes
     ]
 
 
-def _drains(view: View) -> tuple[tuple[str, ...], list[Row]]:
+def _drains(view: InstanceView) -> tuple[tuple[str, ...], list[Row]]:
     columns = ("order", "author", "what", "name", "done", "cap", "from", "until")
-    in_force = view.orders.book
+    in_force = view.orders.in_force
     return columns, [
-        (d.order, d.author, d.kind.value, d.name, _percent(view.orders.share_of(d.order)),
+        (d.order, d.author, d.kind.value, d.name, _percent(view.orders.applied_share(d.order)),
          _cap_text(in_force.cap_of(d)), _time_text(d.span.begins_at),
          _time_text(d.span.ends_at))
         for d in in_force.drains
     ]  # fmt: skip
 
 
-def _shifts(view: View) -> tuple[tuple[str, ...], list[Row]]:
+def _shifts(view: InstanceView) -> tuple[tuple[str, ...], list[Row]]:
     columns = ("order", "author", "service", "from", "to", "rank", "share", "done", "cap",
                "until")  # fmt: skip
-    in_force = view.orders.book
+    in_force = view.orders.in_force
     return columns, [
         (s.order, s.author, s.service, s.source, s.target,
          "all" if s.priority is None else s.priority, _percent(s.share),
-         _percent(view.orders.share_of(s.order)), _cap_text(in_force.cap_of(s)),
+         _percent(view.orders.applied_share(s.order)), _cap_text(in_force.cap_of(s)),
          _time_text(s.span.ends_at))
         for s in in_force.shifts
     ]  # fmt: skip
 
 
-def _caps(view: View) -> tuple[tuple[str, ...], list[Row]]:
-    in_force = view.orders.book
+def _caps(view: InstanceView) -> tuple[tuple[str, ...], list[Row]]:
+    in_force = view.orders.in_force
     rows: list[Row] = [("all others", _cap_text(in_force.cap))]
     rows += [(service, _cap_text(cap)) for service, cap in sorted(in_force.caps.items())]
     return ("service", "cap"), rows
 
 
-def _changes(view: View) -> tuple[tuple[str, ...], list[Row]]:
-    return _change_rows(tuple(reversed(view.orders.book.changes)))
+def _changes(view: InstanceView) -> tuple[tuple[str, ...], list[Row]]:
+    return _change_rows(tuple(reversed(view.orders.in_force.changes)))
 
 
 def _change_rows(changes: Sequence[orders.Change]) -> tuple[tuple[str, ...], list[Row]]:
@@ -385,7 +391,9 @@
     return datetime.datetime.fromtimestamp(at, datetime.UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
 
 
-_TABLES: dict[statements.Subject, Callable[[View], tuple[tuple[str, ...], list[Row]]]] = {
+_TABLES: dict[
+    statements.Subject, Callable[[InstanceView], tuple[tuple[str, ...], list[Row]]]
+] = {
     statements.Subject.INSTANCES: _instances,
     statements.Subject.SERVERS: _servers,
     statements.Subject.REGIONS: _regions,
--- a/src/carobhook/coordination/ordering.py
+++ b/src/carobhook/coordination/order_commands.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from carobhook.coordination import paces
+from carobhook.coordination import order_rollout
 from carobhook.state import codes, ids, orders, statements
 
 _DAY_S = 24 * 3600
@@ -19,7 +19,7 @@
 _M = typing.TypeVar("_M", orders.Shift, orders.Drain)
 
 
-class OrderFault(Exception):  # noqa: N818 - an answer to an operator, not a fault of the program.
+class OrderError(Exception):
     """An order was not accepted, or it is not known yet whether it was.
 
     This is an answer to the operator and does not mean that the program has a fault.
@@ -82,7 +82,7 @@
         context: Author, time and id of the order.
 
     Raises:
-        OrderFault: The command cannot be accepted.
+        OrderError: The command cannot be accepted.
     """
     changed = _apply(command, current, context)
     version = ids.Version(current.version + 1)
@@ -121,7 +121,7 @@
     ends_at, cutoff = order.span.ends_at, wall_time - _RETENTION_AFTER_RETURN_S
     if ends_at is None or cutoff < ends_at:
         return False
-    return paces.scheduled_share(goal, order.span, current.cap_of(order), cutoff) <= 0
+    return order_rollout.scheduled_share(goal, order.span, current.cap_of(order), cutoff) <= 0
 
 
 @functools.singledispatch
@@ -141,7 +141,7 @@
         _require_known(region, set(known.regions.values()), "region")
     if command.source == command.target:
         text = f"{command.source} is both where requests leave and where they go"
-        raise OrderFault(codes.Code.ORDER_INVALID, text)
+        raise OrderError(codes.Code.ORDER_INVALID, text)
     moved = sum(
         s.share
         for s in current.shifts
@@ -151,7 +151,7 @@
     )
     if moved + command.share > 1.0 + 1e-9:
         text = f"{moved:.0%} of {command.service} of {command.source} are moved already"
-        raise OrderFault(codes.Code.ORDER_INVALID, text)
+        raise OrderError(codes.Code.ORDER_INVALID, text)
     shift = orders.Shift(
         context.order,
         context.author,
@@ -194,7 +194,7 @@
         (d.kind, d.name) == subject and is_open(d, context.wall_time) for d in current.drains
     ):
         text = f"{command.kind.value} {command.name} is not drained"
-        raise OrderFault(codes.Code.ORDER_INVALID, text)
+        raise OrderError(codes.Code.ORDER_INVALID, text)
     drains = tuple(
         _end_now(d, context) if (d.kind, d.name) == subject else d for d in current.drains
     )
@@ -206,7 +206,7 @@
     command: statements.SetCap, current: orders.OrderBook, context: OrderContext
 ) -> orders.OrderBook:
     if command.cap.share <= 0:
-        raise OrderFault(
+        raise OrderError(
             codes.Code.ORDER_INVALID, "a cap of 0% would let nothing move or return"
         )
     if command.service is None:
@@ -263,13 +263,13 @@
     """Return the cap that an order sets for itself, None for the general one.
 
     Raises:
-        OrderFault: The cap is zero, or it is wider than the general one without being an
+        OrderError: The cap is zero, or it is wider than the general one without being an
             emergency cap.
     """
     if override is None:
         return None
     if override.cap.share <= 0:
-        raise OrderFault(codes.Code.ORDER_INVALID, "a cap of 0% would let nothing move")
+        raise OrderError(codes.Code.ORDER_INVALID, "a cap of 0% would let nothing move")
     rate = override.cap.share / override.cap.window_s
     is_wider = override.cap.share > general.share or rate > general.share / general.window_s
     if is_wider and not override.emergency:
@@ -277,7 +277,7 @@
             f"the cap is wider than {general.share:.0%} per {general.window_s:g}s; "
             "an emergency cap may be"
         )
-        raise OrderFault(codes.Code.ORDER_OVER_CAP, text)
+        raise OrderError(codes.Code.ORDER_OVER_CAP, text)
     return override.cap
 
 
@@ -285,12 +285,12 @@
     """Check that a name is known.
 
     Raises:
-        OrderFault: It is not; the text lists up to 20 names that are.
+        OrderError: It is not; the text lists up to 20 names that are.
     """
     if name not in known:
         listed = ", ".join(sorted(known)[:20]) or "none"
         text = f"{name!r} is no {what}; there are: {listed}"
-        raise OrderFault(codes.Code.ORDER_INVALID, text)
+        raise OrderError(codes.Code.ORDER_INVALID, text)
 
 
 def _require_drain_name(kind: orders.DrainKind, name: str, known: KnownNames) -> None:
@@ -308,7 +308,7 @@
     """Check that some failure domain can still serve once a drain has taken effect.
 
     Raises:
-        OrderFault: No failure domain would be left.
+        OrderError: No failure domain would be left.
     """
     drains = (*(d for d in current.drains if is_open(d, context.wall_time)), drain)
     drained = {d.name for d in drains if d.kind is not orders.DrainKind.SERVER}
@@ -316,7 +316,7 @@
     remaining = [domain for domain, region in domains if not drained & {domain, region}]
     if not remaining:
         text = f"with {drain.kind.value} {drain.name} drained, no failure domain would serve"
-        raise OrderFault(codes.Code.ORDER_OVERLOAD, text)
+        raise OrderError(codes.Code.ORDER_OVERLOAD, text)
 
 
 def _next_occurrence(second_of_day: int | None, after: float) -> float:
--- a/src/carobhook/coordination/paces.py
+++ b/src/carobhook/coordination/order_rollout.py
@@ -55,7 +55,7 @@
 
 
 @attrs.define
-class MovedShares:
+class MoveLimiter:
     """Limits what one instance moves within a window, measured by its monotonic clock.
 
     Orders are scheduled by the wall clock, which may jump. Without this limit, a jump would let
@@ -66,7 +66,7 @@
         factory=collections.deque, init=False
     )
 
-    def room(self, cap: orders.Cap, now: float) -> float:
+    def allowance(self, cap: orders.Cap, now: float) -> float:
         """Return the share that the cap still allows to move in the current window.
 
         Args:
@@ -77,7 +77,7 @@
             self._moves.popleft()
         return max(0.0, cap.share - sum(share for _, share in self._moves))
 
-    def count(self, share: float, now: float) -> None:
+    def record(self, share: float, now: float) -> None:
         """Record a move.
 
         Args:
--- a/src/carobhook/coordination/order_store.py
+++ b/src/carobhook/coordination/order_store.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Awaitable, Callable
 
-from carobhook.coordination import objects, ordering
+from carobhook.coordination import objects, order_commands
 from carobhook.protocol import order_codec
 from carobhook.state import codes, ids, orders, statements
 
@@ -26,7 +26,7 @@
     async def submit(
         self,
         command: statements.Command,
-        context: ordering.OrderContext,
+        context: order_commands.OrderContext,
         base: ids.Version | None,
     ) -> orders.OrderBook:
         """Accept a command, and return the orders in force after it.
@@ -39,7 +39,8 @@
             base: Version that the operator saw, None to accept any version.
 
         Raises:
-            ordering.OrderFault: The order is not accepted, or it is unknown whether it is.
+            order_commands.OrderError: The order is refused, or it is not known whether it was
+                accepted.
         """
         unknown: objects.StoreError | None = None
         for attempt in range(_MAX_ATTEMPTS):
@@ -50,7 +51,7 @@
                 if current.change_of(context.order) is not None:
                     return current
                 _require_latest_base(current, base)
-                changed = ordering.apply(command, current, context)
+                changed = order_commands.apply(command, current, context)
                 await self._write(changed, revision)
                 return changed
             except objects.ConflictError:
@@ -62,12 +63,14 @@
             except objects.StoreError as problem:
                 if unknown is None:
                     text = f"the store does not take it: {problem}"
-                    raise ordering.OrderFault(codes.Code.ORDER_STORE_DOWN, text) from problem
+                    raise order_commands.OrderError(
+                        codes.Code.ORDER_STORE_DOWN, text
+                    ) from problem
         if unknown is not None:
             text = f"ask with the same id again: {unknown}"
-            raise ordering.OrderFault(codes.Code.ORDER_UNKNOWN, text) from unknown
+            raise order_commands.OrderError(codes.Code.ORDER_UNKNOWN, text) from unknown
         text = f"other orders came first {_MAX_ATTEMPTS} times"
-        raise ordering.OrderFault(codes.Code.ORDER_CONFLICT, text)
+        raise order_commands.OrderError(codes.Code.ORDER_CONFLICT, text)
 
     async def _read(self) -> tuple[orders.OrderBook, int | None]:
         stored = await self._store.get(orders.STORE_KIND, orders.STORE_NAME)
@@ -87,7 +90,7 @@
     """Check that an operator saw the latest version.
 
     Raises:
-        ordering.OrderFault: Another order came first.
+        order_commands.OrderError: Another order came first.
     """
     if base is None or base >= current.version:
         return
@@ -96,4 +99,4 @@
         f"order {last.order} of {last.author} came first as version {current.version}: "
         f"{last.text}"
     )
-    raise ordering.OrderFault(codes.Code.ORDER_CONFLICT, text)
+    raise order_commands.OrderError(codes.Code.ORDER_CONFLICT, text)
--- a/src/carobhook/coordination/refusals.py
+++ b/src/carobhook/coordination/refusals.py
@@ -4,7 +4,7 @@
 
 from carobhook.state import codes
 
-# A result code that says that the request was not run is sent only with one of these statuses.
+# These tell the client that the request was not run, so they are not sent if it may have run.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 # These leave open whether the request was run, so a client must not repeat it.
 _AMBIGUOUS_STATUSES = frozenset({502, 504})
--- a/src/carobhook/coordination/intake.py
+++ b/src/carobhook/coordination/request_routing.py
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class Placed:
+class RoutingDecision:
     """Where a request is sent and how long it may take.
 
     Attributes:
@@ -41,7 +41,7 @@
 
 
 @attrs.define
-class Intake:
+class RequestRouter:
     """Routes requests by the configuration and operators' orders.
 
     Load pattern: a client that was refused sends its request again, with less time left. The
@@ -60,14 +60,14 @@
     )
     _longest_time_left_s: dict[str, float] = attrs.field(factory=dict, init=False)
 
-    def place(
+    def route_request(
         self,
         config: routing.RoutingConfig | None,
         host: str,
         path: str,
         time_left_s: float | None,
         began_at: float,
-    ) -> Placed | refusals.Refusal:
+    ) -> RoutingDecision | refusals.Refusal:
         """Return where a request is sent, or the reason to refuse it.
 
         Args:
@@ -87,17 +87,17 @@
         self._longest_time_left_s[route.name] = longest_s
         waited_s = longest_s - left_s if time_left_s is not None else 0.0
         deadline_at = began_at + min(route.timeout_s, left_s - _CLIENT_MARGIN_S)
-        service = self.pick(route)
-        priority = self.orders.priority(route.name, route.priority)
+        service = self.choose_service(route)
+        priority = self.orders.route_priority(route.name, route.priority)
         target_at = began_at + route.target_s - waited_s
         return self._apply_orders(route, service, priority, target_at, deadline_at)
 
-    def place_call(
+    def route_call(
         self,
         config: routing.RoutingConfig | None,
         call: own_calls.ServiceCall,
         began_at: float,
-    ) -> Placed | refusals.Refusal:
+    ) -> RoutingDecision | refusals.Refusal:
         """Return where a request that names its service is sent, or the reason to refuse it.
 
         Args:
@@ -127,7 +127,7 @@
         deadline_at = began_at + left_s - _CLIENT_MARGIN_S
         return self._apply_orders(route, call.service, call.priority, target_at, deadline_at)
 
-    def pick(self, route: routing.Route) -> ids.Service:
+    def choose_service(self, route: routing.Route) -> ids.Service:
         """Return the service for a route's next request, by the weights of the route.
 
         The choice is smooth: each service gets its share within a few requests.
@@ -146,12 +146,14 @@
         priority: int,
         target_at: float,
         deadline_at: float,
-    ) -> Placed:
+    ) -> RoutingDecision:
         """Return where a request is sent, in the region that operators' shifts select."""
         home = self._home_region(route)
-        region = self.orders.region_for(service, home, priority, route.homes)
+        region = self.orders.choose_region(service, home, priority, route.homes)
         fallback = home if region != home else None
-        return Placed(route, service, region, fallback, priority, target_at, deadline_at)
+        return RoutingDecision(
+            route, service, region, fallback, priority, target_at, deadline_at
+        )
 
     def _home_region(self, route: routing.Route) -> ids.Region:
         """Return this instance's region, or the first home region if it may not serve."""
--- a/src/carobhook/coordination/steering.py
+++ b/src/carobhook/coordination/steering.py
@@ -6,7 +6,7 @@
 import attrs
 import xxhash
 
-from carobhook.coordination import catalog, paces, smooth_choice
+from carobhook.coordination import catalog, order_rollout, smooth_choice
 from carobhook.state import ids, orders, servers
 
 
@@ -19,10 +19,10 @@
     """
 
     regions: Mapping[ids.FailureDomain, ids.Region]
-    _book: orders.OrderBook = attrs.field(factory=orders.OrderBook, init=False)
+    _in_force: orders.OrderBook = attrs.field(factory=orders.OrderBook, init=False)
     _applied_shares: dict[ids.OrderId, float] = attrs.field(factory=dict, init=False)
-    _move_limiters: dict[tuple[ids.Region, ids.Service], paces.MovedShares] = attrs.field(
-        factory=dict, init=False
+    _move_limiters: dict[tuple[ids.Region, ids.Service], order_rollout.MoveLimiter] = (
+        attrs.field(factory=dict, init=False)
     )
     _started: bool = attrs.field(default=False, init=False)
     _region_choice: smooth_choice.SmoothChoice[ids.Region] = attrs.field(
@@ -30,18 +30,18 @@
     )
 
     @property
-    def book(self) -> orders.OrderBook:
+    def in_force(self) -> orders.OrderBook:
         """Return the orders in force."""
-        return self._book
+        return self._in_force
 
-    def offer(self, candidate: orders.OrderBook) -> bool:
-        """Replace the orders in force by newer ones; return whether they were newer."""
-        if candidate.version <= self._book.version:
+    def replace_if_newer(self, candidate: orders.OrderBook) -> bool:
+        """Replace the orders in force if the candidate is newer; return whether it is."""
+        if candidate.version <= self._in_force.version:
             return False
-        self._book = candidate
+        self._in_force = candidate
         return True
 
-    def share_of(self, order: ids.OrderId) -> float:
+    def applied_share(self, order: ids.OrderId) -> float:
         """Return the share of traffic or slots that an order has moved on this instance."""
         return self._applied_shares.get(order, 0.0)
 
@@ -55,7 +55,7 @@
         """
         before = dict(self._applied_shares)
         after: dict[ids.OrderId, float] = {}
-        for order in self._book.moves:
+        for order in self._in_force.moves:
             share = self._next_share(order, services, now, wall_time)
             if share > 0:
                 after[order.order] = share
@@ -73,21 +73,21 @@
         wall_time: float,
     ) -> float:
         """Return the share of an order to apply now, and record the move with its limiters."""
-        cap = self._book.cap_of(order)
+        cap = self._in_force.cap_of(order)
         goal = order.share if isinstance(order, orders.Shift) else 1.0
-        scheduled = paces.scheduled_share(goal, order.span, cap, wall_time)
+        scheduled = order_rollout.scheduled_share(goal, order.span, cap, wall_time)
         applied = self._applied_shares.get(order.order, 0.0)
         if not self._started or scheduled == applied:
             return scheduled
         limiters = [self._move_limiter(key) for key in self._limiter_keys(order, services)]
-        allowance = min((limiter.room(cap, now) for limiter in limiters), default=1.0)
+        allowance = min((limiter.allowance(cap, now) for limiter in limiters), default=1.0)
         step = min(abs(scheduled - applied), allowance)
         for limiter in limiters:
-            limiter.count(step, now)
+            limiter.record(step, now)
         return applied + math.copysign(step, scheduled - applied)
 
-    def _move_limiter(self, key: tuple[ids.Region, ids.Service]) -> paces.MovedShares:
-        return self._move_limiters.setdefault(key, paces.MovedShares())
+    def _move_limiter(self, key: tuple[ids.Region, ids.Service]) -> order_rollout.MoveLimiter:
+        return self._move_limiters.setdefault(key, order_rollout.MoveLimiter())
 
     def _limiter_keys(
         self, order: orders.Move, services: Collection[ids.Service]
@@ -108,14 +108,14 @@
 
     # Servers.
 
-    def empties(self, entry: servers.ServerEntry) -> bool:
+    def is_fully_drained(self, entry: servers.ServerEntry) -> bool:
         """Return whether a drain of a server has taken full effect, so it gets no new work."""
         return any(
-            self.share_of(drain.order) >= 1.0 and self._drain_includes(drain, entry)
-            for drain in self._book.drains
+            self.applied_share(drain.order) >= 1.0 and self._drain_includes(drain, entry)
+            for drain in self._in_force.drains
         )
 
-    def withheld(
+    def withheld_slots(
         self,
         service: ids.Service,
         region: ids.Region,
@@ -129,8 +129,8 @@
             views: The servers.
         """
         slots_by_server: dict[ids.Server, int] = {}
-        for drain in self._book.drains:
-            share = self.share_of(drain.order)
+        for drain in self._in_force.drains:
+            share = self.applied_share(drain.order)
             if share <= 0:
                 continue
             drained = [view.entry for view in views if self._drain_includes(drain, view.entry)]
@@ -148,16 +148,16 @@
 
     # Requests.
 
-    def priority(self, route: str, configured: int) -> int:
+    def route_priority(self, route: str, configured: int) -> int:
         """Return the rank of a route's requests.
 
         Args:
             route: Name of the route.
             configured: Rank in the configuration, used if no order sets another.
         """
-        return self._book.priorities.get(route, configured)
+        return self._in_force.priorities.get(route, configured)
 
-    def region_for(
+    def choose_region(
         self,
         service: ids.Service,
         source: ids.Region,
@@ -189,12 +189,12 @@
     ) -> dict[ids.Region, float]:
         """Return the shares of matching requests that shifts move, by target region."""
         shares: dict[ids.Region, float] = {}
-        for shift in self._book.shifts:
+        for shift in self._in_force.shifts:
             if shift.service != service or shift.source != source:
                 continue
             if shift.priority not in (None, priority) or (homes and shift.target not in homes):
                 continue
-            share = self.share_of(shift.order)
+            share = self.applied_share(shift.order)
             if share > 0:
                 shares[shift.target] = shares.get(shift.target, 0.0) + share
         return shares
--- a/src/carobhook/transport/entry_daemon.py
+++ b/src/carobhook/transport/entry_daemon.py
@@ -84,7 +84,7 @@
         self._phase = members.Phase.STARTING
         self._known = catalog.Catalog()
         self._orders = steering.Steering(settings.regions)
-        self._known.empties = self._orders.empties
+        self._known.empties = self._orders.is_fully_drained
         self._store = store.PlatformStore(
             reactor, settings.store.address, settings.store.timeout_s, (names.SERVERS_KIND,)
         )
@@ -207,7 +207,7 @@
             metric.SERVERS: lambda: len(known.servers(seconds())),
             metric.MEMBERS: lambda: len(self._streams.roster.serving(seconds())),
             metric.CONFIG_VERSION: lambda: known.config.version if known.config else 0,
-            metric.ORDERS_VERSION: lambda: self._orders.book.version,
+            metric.ORDERS_VERSION: lambda: self._orders.in_force.version,
             metric.READY: lambda: float(self._phase is members.Phase.READY),
             metric.LINES_OMITTED: omitted,
         }
@@ -345,7 +345,7 @@
             place.peers,
             self._phase,
             ids.Version(config.version if config is not None else 0),
-            self._orders.book.version,
+            self._orders.in_force.version,
             self._known.store_lost_at is None,
             self._weight(),
         )
--- a/src/carobhook/transport/entry_requests.py
+++ b/src/carobhook/transport/entry_requests.py
@@ -7,7 +7,7 @@
 import attrs
 
 from carobhook import entry_metrics, logs
-from carobhook.coordination import catalog, intake, poison, refusals, steering
+from carobhook.coordination import catalog, poison, refusals, request_routing, steering
 from carobhook.platform import requests
 from carobhook.protocol import http1, own_calls, slot_messages
 from carobhook.state import codes, ids
@@ -69,7 +69,7 @@
         self._domain = domain
         self._incarnation = incarnation
         self._ports = ports
-        self._intake = intake.Intake(region, ports.orders)
+        self._router = request_routing.RequestRouter(region, ports.orders)
         self._wire = requests.ServerWire()
         self._quarantine = poison.Quarantine(own)
         self._flows: set[request_flow.RequestFlow] = set()
@@ -132,7 +132,7 @@
 
     def _place(
         self, inbound: client_connections.Inbound, call: own_calls.ServiceCall | None
-    ) -> intake.Placed | refusals.Refusal:
+    ) -> request_routing.RoutingDecision | refusals.Refusal:
         """Return where a request goes.
 
         Raises:
@@ -140,16 +140,16 @@
         """
         config = self._ports.known.config
         if call is not None:
-            return self._intake.place_call(config, call, inbound.began_at)
+            return self._router.route_call(config, call, inbound.began_at)
         head = inbound.head
         path = head.target.partition(b"?")[0].decode("latin-1")
         left_s = requests.time_left_s(head)
-        return self._intake.place(
+        return self._router.route_request(
             config, head.get("host") or "", path, left_s, inbound.began_at
         )
 
     def _accepted(
-        self, inbound: client_connections.Inbound, placed: intake.Placed
+        self, inbound: client_connections.Inbound, placed: request_routing.RoutingDecision
     ) -> request_flow.Accepted:
         self._taken += 1
         config = self._ports.known.config
--- a/src/carobhook/transport/operator_api.py
+++ b/src/carobhook/transport/operator_api.py
@@ -11,7 +11,7 @@
 from twisted.internet import defer, task
 
 from carobhook import logs
-from carobhook.coordination import objects, order_store, order_tables, ordering
+from carobhook.coordination import objects, operator_queries, order_commands, order_store
 from carobhook.protocol import http1, language, order_codec, slot_messages
 from carobhook.state import codes, ids, orders, routing, statements
 from carobhook.transport import client_connections
@@ -71,8 +71,8 @@
     """
 
     store: objects.ObjectStore
-    view: Callable[[list[slot_messages.ShardLoad]], order_tables.View]
-    names: Callable[[], ordering.KnownNames]
+    view: Callable[[list[slot_messages.ShardLoad]], operator_queries.InstanceView]
+    names: Callable[[], order_commands.KnownNames]
     ask_loads: Callable[[slot_messages.LoadsWanted], int]
     own_loads: Callable[[], list[slot_messages.ShardLoad]]
 
@@ -136,31 +136,33 @@
         author = self._roles.author(header)
         if author is None:
             logs.warning("order-unauthenticated", peer=inbound.client)
-            return _answer(order_tables.Answer(codes.Code.ORDER_UNAUTHENTICATED))
+            return _answer(operator_queries.Answer(codes.Code.ORDER_UNAUTHENTICATED))
         if path == ORDERS_PATH and head.method == b"POST":
             may_order = self._roles.may_order(header)
             return _answer(await self._order(inbound.body, author, may_order))
         version = path.removeprefix(IN_FORCE_PATH)
         if path.startswith(IN_FORCE_PATH) and version.isdigit():
             return self._progress(ids.Version(int(version)))
-        return _answer(order_tables.Answer(codes.Code.ORDER_SYNTAX, f"there is no {path}"))
+        return _answer(operator_queries.Answer(codes.Code.ORDER_SYNTAX, f"there is no {path}"))
 
     def _progress(self, version: ids.Version) -> http1.Answer:
         """Return how far a version is in force."""
         view = self._ports.view([])
-        missing = order_tables.missing(version, view.live)
-        changes = view.orders.book.changes
+        missing = operator_queries.instances_without(version, view.live_members)
+        changes = view.orders.in_force.changes
         at = next((c.at for c in changes if c.version == version), self._wall())
         plain = {
             "version": version,
-            "in_force": len(view.live) - len(missing),
-            "total": len(view.live),
+            "in_force": len(view.live_members) - len(missing),
+            "total": len(view.live_members),
             "missing": missing,
             "seconds": round(max(0.0, self._wall() - at), 3),
         }
         return _json(200, plain)
 
-    async def _order(self, body: bytes, author: str, may_order: bool) -> order_tables.Answer:
+    async def _order(
+        self, body: bytes, author: str, may_order: bool
+    ) -> operator_queries.Answer:
         try:
             plain = json.loads(body)
             order = ids.OrderId(str(plain["id"]))
@@ -168,33 +170,35 @@
             base = None if plain.get("base") is None else ids.Version(int(plain["base"]))
             statement = language.parse(text)
         except language.SyntaxFaultError as fault:
-            return order_tables.Answer(codes.Code.ORDER_SYNTAX, str(fault))
+            return operator_queries.Answer(codes.Code.ORDER_SYNTAX, str(fault))
         except (ValueError, KeyError, TypeError, AttributeError) as problem:
             reason = f"the body must have id and text: {problem!r:.100}"
-            return order_tables.Answer(codes.Code.ORDER_SYNTAX, reason)
-        context = ordering.OrderContext(order, author, text, self._wall(), self._ports.names())
+            return operator_queries.Answer(codes.Code.ORDER_SYNTAX, reason)
+        context = order_commands.OrderContext(
+            order, author, text, self._wall(), self._ports.names()
+        )
         try:
             if isinstance(statement, statements.Command):
                 return await self._command(statement, context, base, may_order)
             return await self._question(statement, context)
-        except ordering.OrderFault as fault:
+        except order_commands.OrderError as fault:
             logs.event(
                 "order-refused", order=order, author=author, text=text, reason=fault.text
             )
-            return order_tables.Answer(fault.code, fault.text)
+            return operator_queries.Answer(fault.code, fault.text)
 
     async def _command(
         self,
         command: statements.Command,
-        context: ordering.OrderContext,
+        context: order_commands.OrderContext,
         base: ids.Version | None,
         may_order: bool,
-    ) -> order_tables.Answer:
+    ) -> operator_queries.Answer:
         if not may_order:
             logs.warning(
                 "order-forbidden", author=context.author, order=context.order, text=context.text
             )
-            return order_tables.Answer(codes.Code.ORDER_FORBIDDEN)
+            return operator_queries.Answer(codes.Code.ORDER_FORBIDDEN)
         book = await self._orders.submit(command, context, base)
         change = book.change_of(context.order)
         version = change.version if change is not None else book.version
@@ -205,15 +209,15 @@
             text=context.text,
             version=version,
         )
-        return order_tables.Answer(codes.Code.ORDER_ACCEPTED, "", version)
+        return operator_queries.Answer(codes.Code.ORDER_ACCEPTED, "", version)
 
     async def _question(
-        self, query: statements.Query | statements.DryRun, context: ordering.OrderContext
-    ) -> order_tables.Answer:
+        self, query: statements.Query | statements.DryRun, context: order_commands.OrderContext
+    ) -> operator_queries.Answer:
         view = self._ports.view(await self._gather_loads())
         if isinstance(query, statements.DryRun):
-            return order_tables.dry_run(query.command, view, context)
-        return order_tables.answer(query, view)
+            return operator_queries.dry_run(query.command, view, context)
+        return operator_queries.answer(query, view)
 
     async def _gather_loads(self) -> list[slot_messages.ShardLoad]:
         """Return the loads of all shards whose instances answer in time."""
@@ -247,10 +251,10 @@
         text = reason.getErrorMessage()
         logs.error("unhandled-error", text=text, trace=reason.getTraceback())
         code = codes.Code.ORDER_UNKNOWN
-    return _answer(order_tables.Answer(code, reason.getErrorMessage()))
+    return _answer(operator_queries.Answer(code, reason.getErrorMessage()))
 
 
-def _answer(result: order_tables.Answer) -> http1.Answer:
+def _answer(result: operator_queries.Answer) -> http1.Answer:
     info = result.code.value
     plain = {
         "code": info.number,
--- a/src/carobhook/transport/operator_view.py
+++ b/src/carobhook/transport/operator_view.py
@@ -8,8 +8,8 @@
     catalog,
     membership,
     objects,
-    order_tables,
-    ordering,
+    operator_queries,
+    order_commands,
     steering,
 )
 from carobhook.protocol import slot_messages
@@ -52,8 +52,10 @@
             self.desk.loads,
         )
 
-    def _view(self, loads: list[slot_messages.ShardLoad], now: float) -> order_tables.View:
-        return order_tables.View(
+    def _view(
+        self, loads: list[slot_messages.ShardLoad], now: float
+    ) -> operator_queries.InstanceView:
+        return operator_queries.InstanceView(
             self.orders,
             self.known.config,
             self.known.servers(now),
@@ -62,9 +64,9 @@
             dict(self.regions),
         )
 
-    def _names(self, now: float) -> ordering.KnownNames:
+    def _names(self, now: float) -> order_commands.KnownNames:
         config = self.known.config
-        return ordering.KnownNames(
+        return order_commands.KnownNames(
             self.regions,
             tuple(config.services) if config is not None else (),
             tuple(route.name for route in config.routes) if config is not None else (),
--- a/src/carobhook/transport/slot_shards.py
+++ b/src/carobhook/transport/slot_shards.py
@@ -317,7 +317,7 @@
             elif entry.name in borrowed and now >= view.cold_until:
                 slots = borrowed[entry.name]
                 wanted.append(server_pool.ServerOffer(view, home, slots, cold_rate))
-        held.withheld = self._orders.withheld(service, region, own)
+        held.withheld = self._orders.withheld_slots(service, region, own)
         held.dispatcher.pool.replace(wanted, now)
         held.dispatcher.allowance.share = visible
         self._set_lent(held, now)
--- a/src/carobhook/transport/store_follow.py
+++ b/src/carobhook/transport/store_follow.py
@@ -316,7 +316,7 @@
             order_codec.book,
             order_codec.MalformedOrdersError,
         )
-        if book is not None and self._orders.offer(book):
+        if book is not None and self._orders.replace_if_newer(book):
             logs.event("orders-in-force", version=book.version, revision=item.version)
 
     def _take_server(self, item: feed_messages.FedObject, now: float) -> None:
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -571,7 +571,7 @@
         assert (status, answer["code"], answer["version"]) == (200, 2001, 1)
         known = self.daemons[0]._known
         await self.until(lambda: not known.usable("i-0"))
-        await self.until(lambda: self.daemons[0]._orders.book.version == 1)
+        await self.until(lambda: self.daemons[0]._orders.in_force.version == 1)
         found = await self.progress(1)
         while found["missing"]:
             # The version goes round with the next heartbeat.
@@ -620,4 +620,4 @@
         self.store.mode.refuse_status = 503
         status, answer = await self.order("set cap 5% per 10s")
         assert (status, answer["code"]) == (503, 2013)
-        assert self.daemons[0]._orders.book.version == 0
+        assert self.daemons[0]._orders.in_force.version == 0
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -1,10 +1,10 @@
-"""Tests of carobhook.coordination.intake and refusals."""
+"""Tests of carobhook.coordination.request_routing and refusals."""
 
 import collections
 
 import attrs
 
-from carobhook.coordination import intake, refusals, steering
+from carobhook.coordination import refusals, request_routing, steering
 from carobhook.state import codes, ids, routing
 
 NORTH, SOUTH = ids.Region("north"), ids.Region("south")
@@ -30,7 +30,7 @@
 
 def make_router(region=NORTH):
     """Return a router of requests without orders of operators."""
-    return intake.Intake(region, steering.Steering({}))
+    return request_routing.RequestRouter(region, steering.Steering({}))
 
 
 class TestPlace:
@@ -40,34 +40,40 @@
         """Of the routes of the host, the one with the longest matching prefix is chosen."""
         router = make_router()
         routes = config(ROUTE, DEEPER)
-        assert router.place(routes, "shop.example", "/a/b/c", 1.0, 0.0).route is DEEPER
-        assert router.place(routes, "Shop.Example:80", "/a/bc", 1.0, 0.0).route is ROUTE
+        assert router.route_request(routes, "shop.example", "/a/b/c", 1.0, 0.0).route is DEEPER
+        assert router.route_request(routes, "Shop.Example:80", "/a/bc", 1.0, 0.0).route is ROUTE
 
     def test_unknown_path_is_404_and_no_configuration_503(self):
         """An unknown path gets 404; without a configuration, 503 says that nothing was run."""
         router = make_router()
-        unknown = router.place(config(ROUTE), "shop.example", "/b/", 1.0, 0.0)
+        unknown = router.route_request(config(ROUTE), "shop.example", "/b/", 1.0, 0.0)
         assert (unknown.code, unknown.status) == (codes.Code.NO_ROUTE, 404)
-        early = router.place(None, "shop.example", "/a/", 1.0, 0.0)
+        early = router.route_request(None, "shop.example", "/a/", 1.0, 0.0)
         assert (early.code, early.status) == (codes.Code.NO_CONFIG, 503)
 
     def test_timeout_and_time_left_limit_deadline(self):
         """The deadline is the earlier of the route's timeout and the client's deadline."""
         router = make_router()
-        assert router.place(config(ROUTE), "shop.example", "/a/", 9.0, 10.0).deadline_at == 12.0
-        assert router.place(config(ROUTE), "shop.example", "/a/", 1.0, 10.0).deadline_at < 11.0
+        assert (
+            router.route_request(config(ROUTE), "shop.example", "/a/", 9.0, 10.0).deadline_at
+            == 12.0
+        )
+        assert (
+            router.route_request(config(ROUTE), "shop.example", "/a/", 1.0, 10.0).deadline_at
+            < 11.0
+        )
 
     def test_repeated_request_has_earlier_target(self):
         """The target is earlier by the time that the client has waited already."""
         router = make_router()
-        router.place(config(ROUTE), "shop.example", "/a/", 3.0, 0.0)
-        repeated = router.place(config(ROUTE), "shop.example", "/a/", 2.4, 1.0)
+        router.route_request(config(ROUTE), "shop.example", "/a/", 3.0, 0.0)
+        repeated = router.route_request(config(ROUTE), "shop.example", "/a/", 2.4, 1.0)
         assert repeated.target_at == 1.0 + 0.5 - (3.0 - 2.4)
 
     def test_home_region_is_chosen(self):
         """A route that only another region may serve gets that region."""
         homed = attrs.evolve(ROUTE, homes=frozenset({SOUTH}))
-        decision = make_router().place(config(homed), "shop.example", "/a/", 1.0, 0.0)
+        decision = make_router().route_request(config(homed), "shop.example", "/a/", 1.0, 0.0)
         assert decision.region == SOUTH
 
 
@@ -82,7 +88,7 @@
         )
         split = attrs.evolve(ROUTE, shares=shares)
         router = make_router()
-        chosen = [router.pick(split) for _ in range(1000)]
+        chosen = [router.choose_service(split) for _ in range(1000)]
         for start in range(0, 900, 37):
             counted = collections.Counter(chosen[start : start + 100])
             assert abs(counted["one"] - 70) <= 1
--- a/tests/test_ordering.py
+++ b/tests/test_order_commands.py
@@ -1,14 +1,14 @@
-"""Tests of carobhook.coordination.ordering and order_store: which orders are accepted."""
+"""Tests of carobhook.coordination.order_commands and order_store: which orders are accepted."""
 
 import pytest
 from twisted.internet import defer, task
 
 import store_access
-from carobhook.coordination import order_store, ordering
+from carobhook.coordination import order_commands, order_store
 from carobhook.protocol import language, order_codec
 from carobhook.state import codes, ids, orders
 
-KNOWN = ordering.KnownNames(
+KNOWN = order_commands.KnownNames(
     {"north-a": "north", "north-b": "north", "south-a": "south"},
     ("svc", "other"),
     ("r-buy",),
@@ -18,14 +18,14 @@
 
 def context(order="o1", author="selam", wall_time=1000.0, text="an order"):
     """Return the context of an order."""
-    return ordering.OrderContext(ids.OrderId(order), author, text, wall_time, KNOWN)
+    return order_commands.OrderContext(ids.OrderId(order), author, text, wall_time, KNOWN)
 
 
 def apply_all(*texts, current=None, wall_time=1000.0):
     """Return the orders in force after several commands in turn."""
     current = current or orders.OrderBook()
     for number, text in enumerate(texts, start=1):
-        current = ordering.apply(
+        current = order_commands.apply(
             language.parse(text), current, context(f"o{number}", wall_time=wall_time)
         )
     return current
@@ -76,7 +76,7 @@
     )
     def test_refusal_gives_reason(self, text, code, reason):
         """A refusal says what is wrong, and lists the known names if a name is unknown."""
-        with pytest.raises(ordering.OrderFault, match=reason) as caught:
+        with pytest.raises(order_commands.OrderError, match=reason) as caught:
             apply_all(text)
         assert caught.value.code is codes.Code[code]
 
@@ -87,20 +87,22 @@
 
     def test_shifts_total_at_most_all_requests(self):
         """The shares of shifts of the same requests must not add up to more than 100%."""
-        with pytest.raises(ordering.OrderFault, match="60% of svc of north are moved already"):
+        with pytest.raises(
+            order_commands.OrderError, match="60% of svc of north are moved already"
+        ):
             apply_all(
                 "shift svc from north to south by 60%", "shift svc from north to south by 50%"
             )
 
     def test_last_failure_domain_cannot_be_drained(self):
         """A drain that would leave no failure domain to serve is refused."""
-        with pytest.raises(ordering.OrderFault) as caught:
+        with pytest.raises(order_commands.OrderError) as caught:
             apply_all("drain region south", "drain region north")
         assert caught.value.code is codes.Code.ORDER_OVERLOAD
 
     def test_drain_with_end_counts_as_drain(self):
         """A drain with an end counts until that time when another drain is checked."""
-        with pytest.raises(ordering.OrderFault) as caught:
+        with pytest.raises(order_commands.OrderError) as caught:
             apply_all("drain region south until 23:00", "drain region north")
         assert caught.value.code is codes.Code.ORDER_OVERLOAD
 
--- a/tests/test_paces.py
+++ b/tests/test_steering.py
@@ -1,11 +1,11 @@
-"""Tests of carobhook.coordination.paces and steering: how orders take effect."""
+"""Tests of carobhook.coordination.order_rollout and steering: how orders take effect."""
 
 import itertools
 
 import hypothesis
 from hypothesis import strategies
 
-from carobhook.coordination import catalog, paces, steering
+from carobhook.coordination import catalog, order_rollout, steering
 from carobhook.state import ids, orders, servers
 
 CAP = orders.Cap(0.1, 10.0)
@@ -34,7 +34,7 @@
     """Return the steering of an instance that started before some orders were given."""
     instance = steering.Steering(REGIONS)
     instance.advance(SERVICES, 0.0, -1.0)
-    instance.offer(
+    instance.replace_if_newer(
         orders.OrderBook(
             ids.Version(1),
             tuple(m for m in moves if isinstance(m, orders.Shift)),
@@ -60,21 +60,28 @@
     def test_share_grows_by_cap_each_window(self):
         """The first step is taken at once, and each further one a window later."""
         span = orders.Span(100.0)
-        shares = [paces.scheduled_share(0.25, span, CAP, at) for at in (99, 100, 109, 110, 120)]
+        shares = [
+            order_rollout.scheduled_share(0.25, span, CAP, at)
+            for at in (99, 100, 109, 110, 120)
+        ]
         assert [round(share, 9) for share in shares] == [0.0, 0.1, 0.1, 0.2, 0.25]
 
     def test_return_at_half_rate(self):
         """After its end an order returns, in half steps, the share that it had reached."""
         span = orders.Span(0.0, 15.0)
         at = [
-            paces.scheduled_share(0.5, span, CAP, wall_time)
+            order_rollout.scheduled_share(0.5, span, CAP, wall_time)
             for wall_time in (14, 15, 25, 35, 45)
         ]
         assert [round(share, 9) for share in at] == [0.2, 0.15, 0.1, 0.05, 0.0]
 
     def test_duration_excludes_first_window(self):
         """The first step is taken at once, so n steps take n - 1 windows."""
-        assert [paces.duration_s(goal, CAP) for goal in (0.1, 0.25, 0.3)] == [0.0, 20.0, 20.0]
+        assert [order_rollout.duration_s(goal, CAP) for goal in (0.1, 0.25, 0.3)] == [
+            0.0,
+            20.0,
+            20.0,
+        ]
 
 
 class TestCap:
@@ -94,7 +101,7 @@
             now = tick * 0.1
             wall_time += 0.1 + (jumps[(tick // 100) % len(jumps)] if tick % 100 == 50 else 0.0)
             instance.advance(SERVICES, now, wall_time)
-            history.append((now, [instance.share_of(move.order) for move in moves]))
+            history.append((now, [instance.applied_share(move.order) for move in moves]))
         changes = [
             (after[0], sum(abs(a - b) for a, b in zip(after[1], before[1], strict=True)))
             for before, after in itertools.pairwise(history)
@@ -106,9 +113,9 @@
     def test_new_instance_starts_at_scheduled_share(self):
         """An instance that starts while an order is partly applied moves no traffic back."""
         instance = steering.Steering(REGIONS)
-        instance.offer(orders.OrderBook(ids.Version(1), (shift(0.5),), cap=CAP))
+        instance.replace_if_newer(orders.OrderBook(ids.Version(1), (shift(0.5),), cap=CAP))
         instance.advance(SERVICES, 0.0, 35.0)
-        assert round(instance.share_of("o1"), 9) == 0.4
+        assert round(instance.applied_share("o1"), 9) == 0.4
 
 
 class TestShifts:
@@ -118,31 +125,34 @@
         """The shares hold within any ten requests, so no region gets long runs of requests."""
         instance = steering_with(shift(0.3, cap=orders.Cap(1.0, 1.0)))
         instance.advance(SERVICES, 1.0, 1.0)
-        chosen = [instance.region_for("svc", NORTH, 1, frozenset()) for _ in range(100)]
+        chosen = [instance.choose_region("svc", NORTH, 1, frozenset()) for _ in range(100)]
         assert chosen.count(SOUTH) == 30
         assert all(2 <= chosen[i : i + 10].count(SOUTH) <= 4 for i in range(90))
-        assert instance.region_for("svc", SOUTH, 1, frozenset()) == SOUTH
-        assert instance.region_for("other", NORTH, 1, frozenset()) == NORTH
+        assert instance.choose_region("svc", SOUTH, 1, frozenset()) == SOUTH
+        assert instance.choose_region("other", NORTH, 1, frozenset()) == NORTH
 
     def test_home_regions_and_rank_limit_shift(self):
         """Requests bound to their home region and requests of other ranks are not shifted."""
         instance = steering_with(shift(1.0, cap=orders.Cap(1.0, 1.0), priority=2))
         instance.advance(SERVICES, 1.0, 1.0)
-        assert instance.region_for("svc", NORTH, 2, frozenset()) == SOUTH
-        assert instance.region_for("svc", NORTH, 2, frozenset({NORTH})) == NORTH
-        assert instance.region_for("svc", NORTH, 0, frozenset()) == NORTH
+        assert instance.choose_region("svc", NORTH, 2, frozenset()) == SOUTH
+        assert instance.choose_region("svc", NORTH, 2, frozenset({NORTH})) == NORTH
+        assert instance.choose_region("svc", NORTH, 0, frozenset()) == NORTH
 
     def test_older_version_is_ignored(self):
         """An old version that arrives again does not replace newer orders in force."""
         instance = steering_with(shift())
-        assert not instance.offer(orders.OrderBook(ids.Version(1)))
-        assert not instance.offer(orders.OrderBook(ids.Version(0)))
-        assert instance.book.shifts
+        assert not instance.replace_if_newer(orders.OrderBook(ids.Version(1)))
+        assert not instance.replace_if_newer(orders.OrderBook(ids.Version(0)))
+        assert instance.in_force.shifts
 
     def test_ordered_rank_overrides_configured_one(self):
         """An order sets the rank of one route; the other routes keep theirs."""
         instance = steering_with(priorities={"r-buy": 0})
-        assert (instance.priority("r-buy", 2), instance.priority("r-other", 2)) == (0, 2)
+        assert (instance.route_priority("r-buy", 2), instance.route_priority("r-other", 2)) == (
+            0,
+            2,
+        )
 
 
 class TestDrains:
@@ -155,10 +165,10 @@
         counts = []
         for now in (0.0, 10.0, 20.0, 30.0):
             instance.advance(SERVICES, now, now)
-            counts.append(sum(instance.withheld("svc", NORTH, views).values()))
+            counts.append(sum(instance.withheld_slots("svc", NORTH, views).values()))
         assert counts == [4, 8, 12, 16]
-        assert instance.empties(views[0].entry)
-        assert not instance.empties(server_view("s9", "south-a").entry)
+        assert instance.is_fully_drained(views[0].entry)
+        assert not instance.is_fully_drained(server_view("s9", "south-a").entry)
 
     def test_withheld_slots_only_grow(self):
         """Slots that one step withholds stay withheld in the next."""
@@ -167,7 +177,7 @@
         before = {}
         for now in (0.0, 10.0, 20.0, 30.0):
             instance.advance(SERVICES, now, now)
-            after = instance.withheld("svc", NORTH, views)
+            after = instance.withheld_slots("svc", NORTH, views)
             assert all(after[name] >= count for name, count in before.items())
             before = after
 
@@ -181,7 +191,9 @@
         instance.advance(SERVICES, 1.0, 1.0)
         names = [("s1", "north-a"), ("s2", "north-a"), ("s3", "north-b"), ("s4", "south-a")]
         drained = [
-            name for name, zone in names if instance.empties(server_view(name, zone).entry)
+            name
+            for name, zone in names
+            if instance.is_fully_drained(server_view(name, zone).entry)
         ]
         assert drained == ["s1", "s3"]
 
@@ -191,5 +203,5 @@
         shares = []
         for now in (49.0, 51.0, 59.0, 61.0, 63.0):
             instance.advance(SERVICES, now, now)
-            shares.append(round(instance.share_of("d1"), 9))
+            shares.append(round(instance.applied_share("d1"), 9))
         assert shares == [0.0, 1.0, 1.0, 0.0, 0.0]
