--- /dev/null
+++ b/src/carobhook/coordination/order_commands.py
@@ -0,0 +1,328 @@
+"""Applies operators' commands to the orders in force, or refuses them with a reason."""
+
+import functools
+import typing
+from collections.abc import Collection, Mapping
+
+import attrs
+
+from carobhook.coordination import order_rollout
+from carobhook.state import codes, ids, orders, statements
+
+_DAY_S = 24 * 3600
+_MAX_CHANGES = 200
+# Time for which an order is kept after all that it moved should have returned. An instance
+# whose wall clock jumped returns traffic later than the others. If the order were removed
+# before that instance is done, the rest of its traffic would return at once, beyond the cap.
+_RETENTION_AFTER_RETURN_S = 60.0
+
+_M = typing.TypeVar("_M", orders.Shift, orders.Drain)
+
+
+class OrderError(Exception):
+    """An order was not accepted, or it is not known yet whether it was.
+
+    This is an answer to the operator and does not mean that the program has a fault.
+
+    Attributes:
+        code: Result code that gives the reason.
+        text: One sentence for the operator.
+    """
+
+    def __init__(self, code: codes.Code, text: str) -> None:
+        super().__init__(text)
+        self.code = code
+        self.text = text
+
+
+@attrs.frozen
+class KnownNames:
+    """Names that orders may refer to.
+
+    Attributes:
+        regions: Regions by failure domain.
+        services: Services of the configuration.
+        routes: Routes of the configuration.
+        servers: Backend servers that the store lists.
+    """
+
+    regions: Mapping[ids.FailureDomain, ids.Region]
+    services: Collection[ids.Service]
+    routes: Collection[str]
+    servers: Collection[ids.Server]
+
+
+@attrs.frozen
+class OrderContext:
+    """The author, time and id of an order, and the names that it may refer to.
+
+    Attributes:
+        order: Id of the order.
+        author: Operator who gave the order.
+        text: The order as the operator wrote it.
+        wall_time: Wall-clock time in seconds at which the order is evaluated.
+        known: Names that the order may refer to.
+    """
+
+    order: ids.OrderId
+    author: str
+    text: str
+    wall_time: float
+    known: KnownNames
+
+
+def apply(
+    command: statements.Command, current: orders.OrderState, context: OrderContext
+) -> orders.OrderState:
+    """Return the orders in force after a command, with the command added to their changes.
+
+    Args:
+        command: The command.
+        current: Orders in force before the command.
+        context: Author, time and id of the order.
+
+    Raises:
+        OrderError: The command cannot be accepted.
+    """
+    changed = _apply(command, current, context)
+    version = ids.Version(current.version + 1)
+    change = orders.Change(
+        version, context.order, context.author, context.wall_time, context.text
+    )
+    return attrs.evolve(
+        changed,
+        version=version,
+        shifts=tuple(
+            s for s in changed.shifts if not _is_removable(s, changed, context.wall_time)
+        ),
+        drains=tuple(
+            d for d in changed.drains if not _is_removable(d, changed, context.wall_time)
+        ),
+        changes=(*changed.changes, change)[-_MAX_CHANGES:],
+    )
+
+
+def is_open(order: orders.Move, wall_time: float) -> bool:
+    """Return whether an order has not ended yet; one that has yet to begin is open too.
+
+    Args:
+        order: The order.
+        wall_time: Wall-clock time in seconds.
+    """
+    return order.span.ends_at is None or order.span.ends_at > wall_time
+
+
+def _is_removable(order: orders.Move, current: orders.OrderState, wall_time: float) -> bool:
+    """Return whether an ended order can be removed from the orders in force.
+
+    It can once the retention time has passed since all that it moved should have returned.
+    """
+    goal = order.share if isinstance(order, orders.Shift) else 1.0
+    ends_at, cutoff = order.span.ends_at, wall_time - _RETENTION_AFTER_RETURN_S
+    if ends_at is None or cutoff < ends_at:
+        return False
+    return order_rollout.scheduled_share(goal, order.span, current.cap_of(order), cutoff) <= 0
+
+
+@functools.singledispatch
+def _apply(
+    command: object, current: orders.OrderState, context: OrderContext
+) -> orders.OrderState:
+    raise TypeError(f"command must be a command, got {command!r:.60}")
+
+
+@_apply.register
+def _(
+    command: statements.Shift, current: orders.OrderState, context: OrderContext
+) -> orders.OrderState:
+    known = context.known
+    _require_known(command.service, known.services, "service")
+    for region in (command.source, command.target):
+        _require_known(region, set(known.regions.values()), "region")
+    if command.source == command.target:
+        text = f"{command.source} is both where requests leave and where they go"
+        raise OrderError(codes.Code.ORDER_INVALID, text)
+    moved = sum(
+        s.share
+        for s in current.shifts
+        if (s.service, s.source) == (command.service, command.source)
+        and s.span.ends_at is None
+        and (s.priority is None or command.priority in (None, s.priority))
+    )
+    if moved + command.share > 1.0 + 1e-9:
+        text = f"{moved:.0%} of {command.service} of {command.source} are moved already"
+        raise OrderError(codes.Code.ORDER_INVALID, text)
+    shift = orders.Shift(
+        context.order,
+        context.author,
+        command.service,
+        command.source,
+        command.target,
+        command.share,
+        orders.Span(context.wall_time),
+        _validated_cap(command.cap_override, current.caps.get(command.service, current.cap)),
+        command.priority,
+    )
+    return attrs.evolve(current, shifts=(*current.shifts, shift))
+
+
+@_apply.register
+def _(
+    command: statements.Drain, current: orders.OrderState, context: OrderContext
+) -> orders.OrderState:
+    _require_drain_name(command.kind, command.name, context.known)
+    begins_at = _next_occurrence(command.starts, context.wall_time)
+    ends_at = None if command.ends is None else _next_occurrence(command.ends, begins_at)
+    drain = orders.Drain(
+        context.order,
+        context.author,
+        command.kind,
+        command.name,
+        orders.Span(begins_at, ends_at),
+        _validated_cap(command.cap_override, current.cap),
+    )
+    _require_domain_left(drain, current, context)
+    return attrs.evolve(current, drains=(*current.drains, drain))
+
+
+@_apply.register
+def _(
+    command: statements.Undrain, current: orders.OrderState, context: OrderContext
+) -> orders.OrderState:
+    subject = (command.kind, command.name)
+    if not any(
+        (d.kind, d.name) == subject and is_open(d, context.wall_time) for d in current.drains
+    ):
+        text = f"{command.kind.value} {command.name} is not drained"
+        raise OrderError(codes.Code.ORDER_INVALID, text)
+    drains = tuple(
+        _end_now(d, context) if (d.kind, d.name) == subject else d for d in current.drains
+    )
+    return attrs.evolve(current, drains=drains)
+
+
+@_apply.register
+def _(
+    command: statements.SetCap, current: orders.OrderState, context: OrderContext
+) -> orders.OrderState:
+    if command.cap.share <= 0:
+        raise OrderError(
+            codes.Code.ORDER_INVALID, "a cap of 0% would let nothing move or return"
+        )
+    if command.service is None:
+        return attrs.evolve(current, cap=command.cap)
+    _require_known(command.service, context.known.services, "service")
+    return attrs.evolve(current, caps={**current.caps, command.service: command.cap})
+
+
+@_apply.register
+def _(
+    command: statements.SetRank, current: orders.OrderState, context: OrderContext
+) -> orders.OrderState:
+    priorities = dict(current.priorities)
+    if command.priority is None:
+        _require_known(command.route, priorities, "route with a rank of its own")
+        del priorities[command.route]
+    else:
+        _require_known(command.route, context.known.routes, "route")
+        priorities[command.route] = command.priority
+    return attrs.evolve(current, priorities=priorities)
+
+
+@_apply.register
+def _(
+    command: statements.Cancel, current: orders.OrderState, context: OrderContext
+) -> orders.OrderState:
+    open_orders = [move.order for move in current.moves if is_open(move, context.wall_time)]
+    _require_known(command.order, open_orders, "order that is under way")
+    return attrs.evolve(
+        current,
+        shifts=tuple(
+            _end_now(s, context) if s.order == command.order else s for s in current.shifts
+        ),
+        drains=tuple(
+            _end_now(d, context) if d.order == command.order else d for d in current.drains
+        ),
+    )
+
+
+def _end_now(order: _M, context: OrderContext) -> _M:
+    """Return an order that ends now.
+
+    An order that has not begun yet gets an end before its begin, so it never takes effect.
+    """
+    now = context.wall_time
+    if order.span.begins_at > now:
+        return attrs.evolve(order, span=orders.Span(now, now - 1.0))
+    return attrs.evolve(order, span=orders.Span(order.span.begins_at, now))
+
+
+def _validated_cap(
+    override: statements.CapOverride | None, general: orders.Cap
+) -> orders.Cap | None:
+    """Return the cap that an order sets for itself, None for the general one.
+
+    Raises:
+        OrderError: The cap is zero, or it is wider than the general one without being an
+            emergency cap.
+    """
+    if override is None:
+        return None
+    if override.cap.share <= 0:
+        raise OrderError(codes.Code.ORDER_INVALID, "a cap of 0% would let nothing move")
+    rate = override.cap.share / override.cap.window_s
+    is_wider = override.cap.share > general.share or rate > general.share / general.window_s
+    if is_wider and not override.emergency:
+        text = (
+            f"the cap is wider than {general.share:.0%} per {general.window_s:g}s; "
+            "an emergency cap may be"
+        )
+        raise OrderError(codes.Code.ORDER_OVER_CAP, text)
+    return override.cap
+
+
+def _require_known(name: str, known: Collection[str], what: str) -> None:
+    """Check that a name is known.
+
+    Raises:
+        OrderError: It is not; the text lists up to 20 names that are.
+    """
+    if name not in known:
+        listed = ", ".join(sorted(known)[:20]) or "none"
+        text = f"{name!r} is no {what}; there are: {listed}"
+        raise OrderError(codes.Code.ORDER_INVALID, text)
+
+
+def _require_drain_name(kind: orders.DrainKind, name: str, known: KnownNames) -> None:
+    names: Collection[str] = known.servers
+    if kind is orders.DrainKind.REGION:
+        names = set(known.regions.values())
+    elif kind is orders.DrainKind.FAILURE_DOMAIN:
+        names = known.regions
+    _require_known(name, names, kind.value)
+
+
+def _require_domain_left(
+    drain: orders.Drain, current: orders.OrderState, context: OrderContext
+) -> None:
+    """Check that some failure domain can still serve once a drain has taken effect.
+
+    Raises:
+        OrderError: No failure domain would be left.
+    """
+    drains = (*(d for d in current.drains if is_open(d, context.wall_time)), drain)
+    drained = {d.name for d in drains if d.kind is not orders.DrainKind.SERVER}
+    domains = context.known.regions.items()
+    remaining = [domain for domain, region in domains if not drained & {domain, region}]
+    if not remaining:
+        text = f"with {drain.kind.value} {drain.name} drained, no failure domain would serve"
+        raise OrderError(codes.Code.ORDER_OVERLOAD, text)
+
+
+def _next_occurrence(second_of_day: int | None, after: float) -> float:
+    """Return the next occurrence of a time of day in UTC, or `after` if no time is given."""
+    if second_of_day is None:
+        return after
+    midnight = after - after % _DAY_S
+    today = midnight + second_of_day
+    return today if today >= after else today + _DAY_S
