--- a/src/carobhook/__main__.py
+++ b/src/carobhook/__main__.py
@@ -1,4 +1,4 @@
-"""Run the command line with ``python -m carobhook``."""
+"""Runs the command line for ``python -m carobhook``."""
 
 from carobhook import cli
 
--- a/src/carobhook/checks.py
+++ b/src/carobhook/checks.py
@@ -1,7 +1,7 @@
-"""Checks of single values, shared by settings and deployment files.
+"""Validators of single values in settings.
 
-A check is an attrs validator that can also say what it expects, so that a reader can report
-every fault of a file instead of the first.
+A check is an attrs validator that also describes the values that it accepts. `tables.Reader`
+uses the description to report all errors of a file instead of only the first.
 """
 
 import math
@@ -18,7 +18,7 @@
 
 
 class InvalidValueError(ValueError):
-    """A value is not what its field expects."""
+    """A value was rejected by the check of its field."""
 
     def __init__(self, key: str, value: object, expected: str) -> None:
         super().__init__(f"{key} is {value!r}, expected {expected}")
@@ -29,37 +29,37 @@
 
 @attrs.frozen
 class Check:
-    """A validator of one field.
+    """Validator of one field.
 
     Attributes:
-        expected: What the field expects, to follow the word "expected".
-        accepts: Whether a value is right; it is called with values of any type.
-        choices: Allowed values, when there are few.
-        each: Check of each value, when the field is a table of names to values.
+        expected: Description of the accepted values, which follows "expected" in messages.
+        accepts: Predicate for valid values; it is called with values of any type.
+        choices: Allowed values, if the check is for one of a few words.
+        item_check: Check of each value, if the field is a table of names to values.
     """
 
     expected: str
     accepts: Callable[[Any], bool]
     choices: tuple[str, ...] = ()
-    each: "Check | None" = None
+    item_check: "Check | None" = None
 
     def __call__(self, instance: object, attribute: Any, value: Any) -> None:
-        """Validate one attrs field.
+        """Validate the value of one attrs field.
 
         Raises:
-            InvalidValueError: The value is not accepted.
+            InvalidValueError: The check does not accept the value.
         """
         if not self.accepts(value):
             raise InvalidValueError(attribute.name, value, self.expected)
 
 
 def doc(text: str) -> dict[str, str]:
-    """Return the metadata of a field that the reference pages describe as ``text``."""
+    """Return attrs metadata that holds a field's description for the reference pages."""
     return {"doc": text}
 
 
 def one_of(choices: Iterable[str]) -> Check:
-    """Return a check for one of a few words."""
+    """Return a check that accepts one of the given words."""
     allowed = tuple(choices)
     return Check(
         expected="one of " + ", ".join(allowed),
@@ -69,7 +69,7 @@
 
 
 def optional(check: Check) -> Check:
-    """Return a check that takes an empty string as well, for "not set"."""
+    """Return a check that also accepts an empty string, which means "not set"."""
     return attrs.evolve(
         check,
         expected=f"{check.expected}, or an empty string",
@@ -77,20 +77,25 @@
     )
 
 
-def table_of(check: Check, what: str) -> Check:
-    """Return a check for a table of names to values that ``check`` accepts."""
+def table_of(check: Check, contents: str) -> Check:
+    """Return a check for a table of names to values.
+
+    Args:
+        check: Check of each value.
+        contents: Description of the names and values, for messages.
+    """
     return Check(
-        expected=f"a table of {what}",
+        expected=f"a table of {contents}",
         accepts=lambda value: (
             isinstance(value, dict)
             and all(isinstance(key, str) and check.accepts(item) for key, item in value.items())
         ),
-        each=check,
+        item_check=check,
     )
 
 
 def list_of(check: Check) -> Check:
-    """Return a check for a list, each item of which ``check`` accepts."""
+    """Return a check for a list whose items are all accepted by ``check``."""
     return Check(
         expected=f"a list, each item {check.expected}",
         accepts=lambda value: (
@@ -139,7 +144,7 @@
 ADDRESS = Check("HOST:PORT with a port from 1 to 65535", _is_address)
 URL = Check("an http or https URL", _is_url)
 SECONDS = Check("a number of seconds above 0", lambda value: _is_number(value) and value > 0)
-RATE = Check("a number above 0", lambda value: _is_number(value) and value > 0)
+POSITIVE = Check("a number above 0", lambda value: _is_number(value) and value > 0)
 SHARE = Check("a share from 0 to 1", lambda value: _is_number(value) and 0 <= value <= 1)
 SHA256_HEX = Check(
     "64 lower-case hexadecimal digits of a SHA-256 hash",
--- a/src/carobhook/demo.py
+++ b/src/carobhook/demo.py
@@ -1,4 +1,4 @@
-"""Lays out a whole deployment on loopback: settings, operator's token and processes."""
+"""Generates a deployment on loopback: settings, an operator's token and processes."""
 
 import hashlib
 import json
@@ -27,10 +27,11 @@
     "accra-a": "accra",
     "accra-b": "accra",
 }
-_INSTANCES_OF_DOMAIN = {"a": 2, "b": 1}
+# Keyed by the last letter of the failure domain's name.
+_INSTANCES_PER_DOMAIN = {"a": 2, "b": 1}
 _RATE = 20.0
 _DURATION_S = 86_400.0
-_PRIVATE = 0o600
+_PRIVATE_MODE = 0o600
 _GUIDE = """\
 The deployment is up: {instances} entry instances of {regions} regions.
 Look around in another shell, with carobhook on PATH (it is in .venv/bin):
@@ -52,10 +53,10 @@
     """One service of the demo and its route.
 
     Attributes:
-        name: The service.
-        kind: What may be repeated of its requests, as the platform writes it.
+        name: Name of the service.
+        kind: Kind of the route in the platform's notation, which sets what may be retried.
         priority: Rank of its requests; 0 is the most urgent.
-        work_s: Seconds that a request takes.
+        work_s: Seconds that a server works on a request.
     """
 
     name: str
@@ -74,7 +75,7 @@
 
 @attrs.frozen
 class Ports:
-    """First ports of each kind on loopback; instances and servers count up from them."""
+    """First port of each kind; the ports of instances and servers are numbered from it."""
 
     http: int = 18000
     peers: int = 18100
@@ -87,14 +88,14 @@
 
     @classmethod
     def starting_at(cls, base: int) -> "Ports":
-        """Return the ports of a deployment whose first port is ``base``."""
+        """Return the ports of a deployment whose lowest port is ``base``."""
         offset = base - cls().http
         return cls(*(port + offset for port in attrs.astuple(cls())))
 
 
 @attrs.frozen
 class Process:
-    """One process of the deployment: its name and the arguments of ``carobhook``."""
+    """Name of one process of the deployment and its arguments for ``carobhook``."""
 
     name: str
     arguments: tuple[str, ...]
@@ -102,12 +103,12 @@
 
 @attrs.frozen
 class Layout:
-    """A deployment laid out on loopback ports.
+    """Names, addresses and settings of a deployment on loopback ports.
 
     Attributes:
-        ports: First ports.
-        token: The operator's token.
-        peer_key: Key shared by the instances.
+        ports: First port of each kind.
+        token: Token of the operator.
+        peer_key: Key that all instances share.
     """
 
     ports: Ports
@@ -116,14 +117,14 @@
 
     @property
     def instances(self) -> Sequence[tuple[str, str]]:
-        """Return the names of the instances, each with its failure domain."""
-        numbers: dict[str, int] = {}
-        found = []
+        """Return the name and failure domain of each instance."""
+        last_numbers: dict[str, int] = {}
+        instances = []
         for domain, region in REGIONS.items():
-            for _ in range(_INSTANCES_OF_DOMAIN[domain[-1]]):
-                numbers[region] = numbers.get(region, 0) + 1
-                found.append((f"{region}-{numbers[region]}", domain))
-        return found
+            for _ in range(_INSTANCES_PER_DOMAIN[domain[-1]]):
+                last_numbers[region] = last_numbers.get(region, 0) + 1
+                instances.append((f"{region}-{last_numbers[region]}", domain))
+        return instances
 
     @property
     def store(self) -> str:
@@ -131,20 +132,20 @@
         return f"{HOST}:{self.ports.store}"
 
     @property
-    def operator(self) -> str:
-        """Return the address of the first instance for operators."""
+    def operator_address(self) -> str:
+        """Return the address of the first instance's port for operators."""
         return f"{HOST}:{self.ports.operators}"
 
     @property
     def directories(self) -> list[str]:
-        """Return the addresses that answer where to connect."""
+        """Return the addresses of the instances' directories."""
         return [
             f"{HOST}:{self.ports.directory + index}" for index in range(len(self.instances))
         ]
 
     @property
     def servers(self) -> list[service_group.ServerPlan]:
-        """Return the backend servers: one of each service in each failure domain."""
+        """Return the backend servers, one for each service and failure domain."""
         return [
             service_group.ServerPlan(
                 f"{service.name}-{number}",
@@ -158,15 +159,15 @@
         ]
 
     def guide(self, token: str) -> str:
-        """Return how to look around.
+        """Return instructions for using the deployment.
 
         Args:
-            token: The token, or a shell expression that gives it.
+            token: The token, or a shell expression that expands to it.
         """
         return _GUIDE.format(
             instances=len(self.instances),
             regions=len(set(REGIONS.values())),
-            operator=self.operator,
+            operator=self.operator_address,
             token=token,
             directory=self.directories[0],
             entry=f"{HOST}:{self.ports.http}",
@@ -175,7 +176,7 @@
         )
 
     def settings_text(self, index: int) -> str:
-        """Return the settings file of one instance, counted from 0."""
+        """Return the text of the settings file of one instance, counted from 0."""
         name, domain = self.instances[index]
         ports = attrs.asdict(self.ports)
         addresses = {
@@ -196,23 +197,23 @@
         return settings_file(sections)
 
     def processes(self, directory: pathlib.Path) -> tuple[Process, ...]:
-        """Return the processes in the order in which they start."""
+        """Return the processes in the order in which they are started."""
         store = ("standin", "store", "--host", HOST, "--port", str(self.ports.store))
         config = ("--config", str(directory / CONFIG_FILE))
         servers = ("standin", "servers", "--store", self.store)
-        listed = ("--file", str(directory / SERVERS_FILE))
+        servers_file = ("--file", str(directory / SERVERS_FILE))
         daemons = [
             Process(name, ("serve", "--settings", str(settings_path(directory, name))))
             for name, _ in self.instances
         ]
         return (
             Process("store", store + config),
-            Process("servers", servers + listed),
+            Process("servers", servers + servers_file),
             *daemons,
-            self._client(),
+            self._client_process(),
         )
 
-    def _client(self) -> Process:
+    def _client_process(self) -> Process:
         arguments = ["standin", "clients", "--rate", f"{_RATE:g}"]
         arguments += ["--duration", f"{_DURATION_S:g}", "--region", "addis"]
         arguments += ["--failure-domain", "addis-a", "--host", SERVED_HOST]
@@ -238,7 +239,7 @@
 
 
 def request_plans() -> list[platform_client.RequestPlan]:
-    """Return the kinds of requests that clients of the demo send, one for each service."""
+    """Return the requests that clients of the demo send, one for each service."""
     return [
         platform_client.RequestPlan(
             SERVED_HOST, f"/{service.name}/", repeatable=service.kind != "unsafe"
@@ -248,7 +249,7 @@
 
 
 def config(version: int = 1) -> dict[str, Any]:
-    """Return a version of the routing configuration as the operators' team writes it."""
+    """Return one version of the routing configuration, in the platform's format."""
     routes = [
         {
             "Name": service.name,
@@ -290,7 +291,7 @@
 
 
 def settings_file(sections: Mapping[str, Mapping[str, object]]) -> str:
-    """Return the text of a settings file with some tables."""
+    """Return the text of a settings file that holds the given tables."""
     return "\n\n".join(_table_text(name, table) for name, table in sections.items()) + "\n"
 
 
@@ -300,7 +301,7 @@
 
 
 def token_hash(token: str) -> str:
-    """Return the SHA-256 hash of a token as settings hold it."""
+    """Return the SHA-256 hash of a token, in the form that settings use."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
@@ -309,7 +310,7 @@
 
     Args:
         layout: The deployment.
-        directory: Made if it does not exist; files of an earlier layout are replaced.
+        directory: Created if it does not exist; files of an earlier layout are replaced.
 
     Raises:
         OSError: A file cannot be written.
@@ -319,8 +320,8 @@
     for index, (name, _) in enumerate(layout.instances):
         _write_private(settings_path(directory, name), layout.settings_text(index))
     _write_private(directory / TOKEN_FILE, layout.token + "\n")
-    listed = [attrs.asdict(plan) for plan in layout.servers]
-    (directory / SERVERS_FILE).write_text(json.dumps(listed, indent=1), "utf-8")
+    plans = [attrs.asdict(plan) for plan in layout.servers]
+    (directory / SERVERS_FILE).write_text(json.dumps(plans, indent=1), "utf-8")
     (directory / CONFIG_FILE).write_text(json.dumps(config(), indent=1), "utf-8")
     guide = layout.guide(f"$(cat {shlex.quote(str(directory / TOKEN_FILE))})")
     (directory / GUIDE_FILE).write_text(guide + "\n", "utf-8")
@@ -337,6 +338,6 @@
 
 
 def _write_private(path: pathlib.Path, text: str) -> None:
-    path.touch(mode=_PRIVATE)
-    path.chmod(_PRIVATE)
+    path.touch(mode=_PRIVATE_MODE)
+    path.chmod(_PRIVATE_MODE)
     path.write_text(text, "utf-8")
--- a/src/carobhook/entry.py
+++ b/src/carobhook/entry.py
@@ -1,7 +1,7 @@
-"""Starts one entry instance: ``python3 -m carobhook.entry``.
+"""Entry point of one entry instance: ``python3 -m carobhook.entry``.
 
-Only what a running instance needs is imported, as each instance pays for it in memory and at
-each start. `carobhook serve` is the same with a command line.
+Imports only what a running instance needs, because every import costs each instance memory and
+start-up time. `carobhook serve` runs the same code behind the command line.
 """
 
 import os
@@ -19,18 +19,18 @@
 SETTINGS_VARIABLE = "CAROBHOOK_SETTINGS"
 SETTINGS_INTERVAL_S = 2.0
 OUTPUT_INTERVAL_S = 1.0
-# The same as those of the command line.
+# Same values as the exit codes of the command line, which is not imported here.
 EXIT_USAGE = 2
 EXIT_ADDRESS_IN_USE = 5
 EXIT_FAILED = 6
 
 
-class _Run:
-    """One run of the reactor with a daemon, from its start to its end.
+class _Runner:
+    """Runs a daemon in the reactor, reloads its settings and flushes its log output.
 
     Args:
         path: The settings file, which is read again when it changes.
-        loaded: What it holds now.
+        loaded: Settings that the file holds now.
     """
 
     def __init__(self, path: pathlib.Path, loaded: entry_settings.EntrySettings) -> None:
@@ -44,33 +44,38 @@
         self._watch = settings_watch.SettingsWatch(path, self._daemon.reload)
         self.exit_code = 0
 
-    def begin(self) -> None:
-        """Start the daemon and what goes on beside it."""
-        defer.ensureDeferred(self._daemon.start()).addErrback(self._start_failed)
-        # The reactor installs its own handlers when it starts, but none for this signal.
-        signal.signal(signal.SIGHUP, self._signalled)
+    def start(self) -> None:
+        """Start the daemon, the settings watch and the periodic flush of log output."""
+        defer.ensureDeferred(self._daemon.start()).addErrback(self._handle_start_failure)
+        # The reactor installs its own signal handlers when it starts, but none for SIGHUP.
+        signal.signal(signal.SIGHUP, self._handle_sighup)
         task.LoopingCall(self._watch.look).start(SETTINGS_INTERVAL_S, now=False)
-        task.LoopingCall(self._tend_output).start(OUTPUT_INTERVAL_S, now=False)
+        task.LoopingCall(self._flush_output).start(OUTPUT_INTERVAL_S, now=False)
 
-    def end(self) -> defer.Deferred:
-        """Stop the daemon; the reactor goes on until it has."""
+    def stop(self) -> defer.Deferred:
+        """Stop the daemon, unless its start failed.
+
+        Returns:
+            A deferred that fires when the daemon has stopped; the reactor waits for it before
+            it shuts down.
+        """
         if self.exit_code:
             return defer.succeed(None)
-        return defer.ensureDeferred(self._daemon.stop()).addErrback(self._stop_failed)
+        return defer.ensureDeferred(self._daemon.stop()).addErrback(self._handle_stop_failure)
 
-    def _signalled(self, number: int, frame: object) -> None:
+    def _handle_sighup(self, number: int, frame: object) -> None:
         reactor.callFromThread(self._watch.look, True)
 
-    def _tend_output(self) -> None:
+    def _flush_output(self) -> None:
         self._handler.flush()
-        omitted = self._budget.take_omitted()
+        omitted = self._budget.collect_omitted()
         if omitted:
             logs.warning("lines-omitted", **omitted)
 
-    def _start_failed(self, reason: failure.Failure) -> None:
+    def _handle_start_failure(self, reason: failure.Failure) -> None:
         if reason.check(error.CannotListenError):
             self.exit_code = EXIT_ADDRESS_IN_USE
-            sys.stderr.write(_listen_complaint(reason.value))
+            sys.stderr.write(_listen_error_message(reason.value))
         else:
             self.exit_code = EXIT_FAILED
             trace = reason.getTraceback()
@@ -78,47 +83,47 @@
         if reactor.running:
             reactor.stop()
 
-    def _stop_failed(self, reason: failure.Failure) -> None:
+    def _handle_stop_failure(self, reason: failure.Failure) -> None:
         logs.error("unhandled-error", trace=reason.getTraceback())
 
 
 def run(path: pathlib.Path, loaded: entry_settings.EntrySettings) -> None:
-    """Run an instance until it is told to stop.
+    """Run an instance until the process receives a signal to stop.
 
     Args:
         path: Its settings file.
-        loaded: What the file holds.
+        loaded: Settings that the file holds.
 
     Raises:
-        SystemExit: The start failed.
+        SystemExit: The instance could not start.
     """
     try:
-        one = _Run(path, loaded)
-    except settings.TlsFilesError as problem:
-        sys.stderr.write(f"{path}: {problem}\n")
+        runner = _Runner(path, loaded)
+    except settings.TlsFilesError as tls_error:
+        sys.stderr.write(f"{path}: {tls_error}\n")
         sys.exit(EXIT_USAGE)
-    reactor.callWhenRunning(one.begin)
-    reactor.addSystemEventTrigger("before", "shutdown", one.end)
+    reactor.callWhenRunning(runner.start)
+    reactor.addSystemEventTrigger("before", "shutdown", runner.stop)
     reactor.run()
-    if one.exit_code:
-        sys.exit(one.exit_code)
+    if runner.exit_code:
+        sys.exit(runner.exit_code)
 
 
-def _listen_complaint(problem: error.CannotListenError) -> str:
-    """Return the one line for an address that cannot be listened on."""
-    cause = getattr(problem.socketError, "strerror", None) or problem.socketError
+def _listen_error_message(reason: error.CannotListenError) -> str:
+    """Return the error message, one line, for an address that cannot be listened on."""
+    cause = getattr(reason.socketError, "strerror", None) or reason.socketError
     number = codes.Code.ADDRESS_IN_USE.number
-    return f"error {number}: cannot listen on {problem.interface}:{problem.port}: {cause}\n"
+    return f"error {number}: cannot listen on {reason.interface}:{reason.port}: {cause}\n"
 
 
 def main() -> None:
-    """Run the instance that the settings file describes until it is told to stop."""
+    """Run the instance that the settings file describes until a signal stops it."""
     path = pathlib.Path(os.environ[SETTINGS_VARIABLE])
     try:
         loaded = entry_settings.load(path)
-    except settings.SettingsError as group:
-        for fault in group.exceptions:
-            sys.stderr.write(f"{path}: {fault}\n")
+    except settings.SettingsError as errors:
+        for setting_error in errors.exceptions:
+            sys.stderr.write(f"{path}: {setting_error}\n")
         sys.exit(EXIT_USAGE)
     run(path, loaded)
 
--- a/src/carobhook/entry_metrics.py
+++ b/src/carobhook/entry_metrics.py
@@ -12,7 +12,7 @@
 
 
 class Kind(enum.Enum):
-    """How a metric counts."""
+    """Prometheus type of a metric."""
 
     COUNTER = "counter"
     HISTOGRAM = "histogram"
@@ -21,13 +21,14 @@
 
 @attrs.frozen
 class MetricInfo:
-    """Meaning of one metric.
+    """Name, type and meaning of one metric.
 
     Attributes:
-        name: Its name.
-        kind: How it counts.
-        labels: What it is counted by; each has few values.
-        text: One plain sentence.
+        name: Name of the metric.
+        kind: Type of the metric.
+        labels: Names of its labels. Each has few distinct values, as every combination of them
+            is a time series of its own.
+        text: Meaning of the metric, as one sentence for its help text.
     """
 
     name: str
@@ -37,7 +38,7 @@
 
 
 class EntryMetric(enum.Enum):
-    """Every metric of an entry instance."""
+    """All metrics of an entry instance."""
 
     REQUESTS = MetricInfo(
         "carobhook_requests_total",
@@ -106,23 +107,23 @@
 
 
 class EntryMetrics:
-    """Counts what an instance does, and gives it as text.
+    """Collects the metrics of an instance and renders them as text.
 
     Args:
-        gauges: What each gauge shows at present.
+        gauges: Functions that return the current value of each gauge.
     """
 
     def __init__(self, gauges: Mapping[EntryMetric, Callable[[], float]]) -> None:
         self._registry = registry.CollectorRegistry()
-        self._held: dict[EntryMetric, typing.Any] = {}
+        self._collectors: dict[EntryMetric, typing.Any] = {}
         for metric in EntryMetric:
             info = metric.value
             if info.kind is Kind.COUNTER:
-                made: typing.Any = prometheus_client.Counter(
+                collector: typing.Any = prometheus_client.Counter(
                     info.name, info.text, info.labels, registry=self._registry
                 )
             elif info.kind is Kind.HISTOGRAM:
-                made = prometheus_client.Histogram(
+                collector = prometheus_client.Histogram(
                     info.name,
                     info.text,
                     info.labels,
@@ -130,18 +131,20 @@
                     buckets=_BUCKETS_S,
                 )
             else:
-                made = prometheus_client.Gauge(info.name, info.text, registry=self._registry)
-                made.set_function(gauges[metric])
-            self._held[metric] = made
+                collector = prometheus_client.Gauge(
+                    info.name, info.text, registry=self._registry
+                )
+                collector.set_function(gauges[metric])
+            self._collectors[metric] = collector
 
     def count(self, metric: EntryMetric, *labels: str) -> None:
-        """Add one to a counter."""
-        self._held[metric].labels(*labels).inc()
+        """Increment a counter by one."""
+        self._collectors[metric].labels(*labels).inc()
 
     def observe(self, metric: EntryMetric, seconds: float, *labels: str) -> None:
-        """Add a time in seconds to a histogram."""
-        self._held[metric].labels(*labels).observe(seconds)
+        """Record a duration in seconds in a histogram."""
+        self._collectors[metric].labels(*labels).observe(seconds)
 
     def text(self) -> bytes:
-        """Return all metrics in Prometheus' text format."""
+        """Return all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self._registry)
--- a/src/carobhook/entry_settings.py
+++ b/src/carobhook/entry_settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry instance: TOML text to validated, frozen values."""
+"""Settings of an entry instance, read from TOML into validated, frozen values."""
 
 import pathlib
 from typing import Any
@@ -107,16 +107,16 @@
     """What the machine gives to the process."""
 
     memory_mb: float = attrs.field(
-        validator=checks.RATE, metadata=checks.doc("Memory of the process, in megabytes.")
+        validator=checks.POSITIVE, metadata=checks.doc("Memory of the process, in megabytes.")
     )
     file_descriptors: float = attrs.field(
-        validator=checks.RATE, metadata=checks.doc("File descriptors of the process.")
+        validator=checks.POSITIVE, metadata=checks.doc("File descriptors of the process.")
     )
     cores: float = attrs.field(
-        validator=checks.RATE, metadata=checks.doc("Processor share, in cores.")
+        validator=checks.POSITIVE, metadata=checks.doc("Processor share, in cores.")
     )
     link_mbps: float = attrs.field(
-        validator=checks.RATE, metadata=checks.doc("Bandwidth of its link, in Mbit/s.")
+        validator=checks.POSITIVE, metadata=checks.doc("Bandwidth of its link, in Mbit/s.")
     )
 
 
@@ -133,21 +133,21 @@
         metadata=checks.doc("Longest time for which clients may keep a directory answer."),
     )
     budget_ratio: float = attrs.field(
-        validator=checks.RATE,
+        validator=checks.POSITIVE,
         metadata=checks.doc("Repeats that a service may get for each of its requests."),
     )
     budget_window: str = attrs.field(
         validator=_DURATION, metadata=checks.doc("Window in which repeats are counted.")
     )
     budget_slack: float = attrs.field(
-        validator=checks.RATE, metadata=checks.doc("Repeats besides, in a window.")
+        validator=checks.POSITIVE, metadata=checks.doc("Repeats besides, in a window.")
     )
     cold_over: float = attrs.field(
-        validator=checks.RATE,
+        validator=checks.POSITIVE,
         metadata=checks.doc("Times the rate of a cold server that it may get."),
     )
     cold_slack: float = attrs.field(
-        validator=checks.RATE,
+        validator=checks.POSITIVE,
         metadata=checks.doc("Requests a second that a cold server may get besides."),
     )
     shift_most: float = attrs.field(
@@ -157,12 +157,12 @@
 
     @property
     def grace_s(self) -> float:
-        """Return the grace in seconds."""
+        """Return the grace period of a stop in seconds."""
         return durations.parse_seconds(self.grace)
 
     @property
     def ttl_max_s(self) -> float:
-        """Return the longest time of a directory answer in seconds."""
+        """Return the longest time to live of a directory answer in seconds."""
         return durations.parse_seconds(self.ttl_max)
 
     @property
@@ -173,7 +173,7 @@
 
 @attrs.frozen
 class EntrySettings:
-    """All settings of one entry instance, one attribute for each table of the file."""
+    """All settings of one entry instance; each attribute is a table of the file."""
 
     place: PlaceSettings
     store: StoreSettings
@@ -204,7 +204,7 @@
         path: The file.
 
     Raises:
-        settings.SettingsError: The file has faults or cannot be read.
+        settings.SettingsError: The file has errors or cannot be read.
     """
     return loads(settings.read_text(path), str(path))
 
@@ -214,16 +214,16 @@
 
     Args:
         text: The text.
-        source: Where it comes from, for reports.
+        source: Name of its origin, which starts the error message.
 
     Raises:
-        settings.SettingsError: The text has faults; each one is in the group.
+        settings.SettingsError: The text has errors; the group holds all of them.
     """
     try:
-        content = tables.parse(text, settings.SettingsFault)
-    except settings.SettingsFault as fault:
-        raise settings.SettingsError(source, [fault]) from fault
-    reader = tables.Reader(tables.Lines.scan(text), settings.SettingsFault)
+        content = tables.parse(text, settings.InvalidSettingError)
+    except settings.InvalidSettingError as error:
+        raise settings.SettingsError(source, [error]) from error
+    reader = tables.Reader(tables.Lines.scan(text), settings.InvalidSettingError)
     reader.report_unknown_tables(content, (*TABLES, _REGIONS))
     values = {
         name: reader.read(kind, name, content.get(name, {})) for name, kind in TABLES.items()
@@ -234,23 +234,23 @@
     for domain, region in regions.items() if isinstance(regions, dict) else ():
         if not checks.TEXT.accepts(region):
             reader.report(_REGIONS, domain, region, checks.TEXT.expected)
-    _check_across(reader, values)
-    if reader.faults:
-        faults = [f for f in reader.faults if isinstance(f, settings.SettingsFault)]
-        raise settings.SettingsError(source, faults)
+    _check_related_fields(reader, values)
+    if reader.errors:
+        errors = [e for e in reader.errors if isinstance(e, settings.InvalidSettingError)]
+        raise settings.SettingsError(source, errors)
     return EntrySettings(regions=regions, **values)
 
 
-def _check_across(reader: tables.Reader, values: dict[str, Any]) -> None:
-    """Report faults that only show in several fields together."""
+def _check_related_fields(reader: tables.Reader, values: dict[str, Any]) -> None:
+    """Report values that are valid alone but not together with other fields."""
     place, tls = values["place"], values["tls"]
     if place is not None:
-        seen: set[str] = set()
+        used: set[str] = set()
         for key in ("http", "readiness", "directory", "peers", "metrics", "operators"):
             address = getattr(place, key)
-            if address and address in seen:
+            if address and address in used:
                 reader.report("place", key, address, "an address of its own")
-            seen.add(address)
+            used.add(address)
     if tls is not None and any((tls.cert, tls.key, tls.ca)):
         for key in ("cert", "key", "ca"):
             if not getattr(tls, key):
--- a/src/carobhook/events.py
+++ b/src/carobhook/events.py
@@ -1,4 +1,4 @@
-"""Names of the events that are logged, in one place."""
+"""Catalog of all events that are logged."""
 
 import enum
 
@@ -7,11 +7,11 @@
 
 @attrs.frozen
 class EventInfo:
-    """Meaning of one event.
+    """Name and meaning of one event.
 
     Attributes:
-        name: Name as it stands in a log line.
-        text: One plain sentence.
+        name: Name of the event in log lines.
+        text: Meaning of the event, as one sentence for the reference page.
     """
 
     name: str
@@ -19,7 +19,7 @@
 
 
 class Event(enum.Enum):
-    """Every event."""
+    """All events."""
 
     INSTANCE_STARTED = EventInfo("instance-started", "The daemon listens on all its ports.")
     INSTANCE_LEAVING = EventInfo("instance-leaving", "A graceful stop has begun.")
--- a/src/carobhook/log_output.py
+++ b/src/carobhook/log_output.py
@@ -1,4 +1,4 @@
-"""Writes log lines without ever waiting for their reader, and within a budget."""
+"""Writes log lines to a file descriptor without blocking, within a budget of lines."""
 
 import collections
 import enum
@@ -10,21 +10,23 @@
 
 from carobhook.coordination import token_bucket
 
-# Lines a second over a longer time, and at once after a quiet time.
+# Sustained rate of lines, and how many may be written at once after an idle period.
 LINES_PER_S = 150.0
 _BURST_LINES = 600.0
-# Lines of each importance are written while this share of the burst is left.
-_RESERVED_SHARES = (0.0, 0.15, 0.4)
-_MAX_WAITING_OCTETS = 512 * 1024
-_CODE_OF_SUCCESS = 1000
+# By importance: a line is written only while more than this fraction of the burst is left, so
+# that a flood of unimportant lines cannot use up the budget of the important ones.
+_RESERVED_FRACTIONS = (0.0, 0.15, 0.4)
+_MAX_PENDING_BYTES = 512 * 1024
+# Number of `codes.Code.OK`.
+_SUCCESS_CODE = 1000
 
 
 class Importance(enum.IntEnum):
-    """How much a line is worth when not all can be written.
+    """Importance of a line, which decides what is dropped first under load.
 
-    HIGH: Warnings, errors and changes of what the process believes.
-    NORMAL: Requests that failed.
-    LOW: Requests that went well.
+    HIGH: Errors, and lines about the state of the instance instead of one request.
+    NORMAL: Requests that failed or were retried.
+    LOW: Requests that succeeded at the first attempt.
     """
 
     HIGH = 0
@@ -33,21 +35,21 @@
 
 
 def importance_of(record: logging.LogRecord) -> Importance:
-    """Return how much a line is worth."""
+    """Return the importance of a log record."""
     fields = getattr(record, "fields", {})
     if "request" not in fields or record.levelno >= logging.ERROR:
         return Importance.HIGH
-    if fields.get("code") == _CODE_OF_SUCCESS and fields.get("sends") == 1:
+    if fields.get("code") == _SUCCESS_CODE and fields.get("sends") == 1:
         return Importance.LOW
     return Importance.NORMAL
 
 
 @attrs.define
 class LineBudget:
-    """Decides which lines are written when more come than is agreed.
+    """Limits the rate of log lines, and drops the least important ones first.
 
-    Load pattern: a flood of requests, or a failure that touches all of them at once, would
-    write more lines than the machine and its reader bear. Lines of little worth go first.
+    Without a limit, a flood of requests, or a failure that affects all of them at once, would
+    write more lines than the machine and the log reader can handle.
     """
 
     _bucket: token_bucket.TokenBucket = attrs.field(
@@ -56,81 +58,83 @@
     _omitted: collections.Counter[Importance] = attrs.field(
         factory=collections.Counter, init=False
     )
-    _total: int = attrs.field(default=0, init=False)
+    _omitted_total: int = attrs.field(default=0, init=False)
 
     @property
     def omitted_total(self) -> int:
-        """Return how many lines were left out since the start."""
-        return self._total
+        """Return the number of lines dropped since the start."""
+        return self._omitted_total
 
-    def admits(self, importance: Importance, now: float) -> bool:
-        """Tell whether a line is written, and count it if not.
+    def try_consume(self, importance: Importance, now: float) -> bool:
+        """Return whether a line may be written; a line that may not is counted as dropped.
 
         Args:
-            importance: Its worth.
+            importance: Importance of the line.
             now: Monotonic time in seconds.
         """
-        reserve = _RESERVED_SHARES[importance] * _BURST_LINES
+        reserve = _RESERVED_FRACTIONS[importance] * _BURST_LINES
         if self._bucket.available(now) > reserve and self._bucket.try_consume(now):
             return True
-        self.count_omitted(importance)
+        self.record_omitted(importance)
         return False
 
-    def count_omitted(self, importance: Importance) -> None:
-        """Count a line that was left out."""
+    def record_omitted(self, importance: Importance) -> None:
+        """Record a dropped line."""
         self._omitted[importance] += 1
-        self._total += 1
+        self._omitted_total += 1
 
-    def take_omitted(self) -> dict[str, int]:
-        """Return the lines left out since the last call, by importance."""
+    def collect_omitted(self) -> dict[str, int]:
+        """Return the number of lines dropped since the last call, by importance."""
         omitted, self._omitted = self._omitted, collections.Counter()
         return {importance.name.lower(): count for importance, count in omitted.items()}
 
 
 class LineHandler(logging.Handler):
-    """Writes lines to a file descriptor, which must not block.
+    """Writes lines to a file descriptor, which it switches to non-blocking mode.
+
+    Lines that the reader has not yet accepted are buffered up to a fixed size.
 
     Args:
         descriptor: The file descriptor.
-        budget: Which lines are written.
+        budget: Decides which lines are written.
     """
 
     def __init__(self, descriptor: int, budget: LineBudget) -> None:
         super().__init__()
         self._descriptor = descriptor
         self._budget = budget
-        self._waiting: collections.deque[bytes] = collections.deque()
-        self._waiting_octets = 0
+        self._pending: collections.deque[bytes] = collections.deque()
+        self._pending_bytes = 0
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a line, or leave it out if there is no room for it."""
+        """Write a line, or drop it if the budget is used up or the buffer is full."""
         importance = importance_of(record)
-        if not self._budget.admits(importance, time.monotonic()):
+        if not self._budget.try_consume(importance, time.monotonic()):
             return
         line = self.format(record).encode("utf-8", "backslashreplace") + b"\n"
-        if self._waiting_octets + len(line) > _MAX_WAITING_OCTETS:
-            self._budget.count_omitted(importance)
+        if self._pending_bytes + len(line) > _MAX_PENDING_BYTES:
+            self._budget.record_omitted(importance)
             return
-        self._waiting.append(line)
-        self._waiting_octets += len(line)
+        self._pending.append(line)
+        self._pending_bytes += len(line)
         self.flush()
 
     def flush(self) -> None:
-        """Write as much of what waits as the reader takes now."""
-        while self._waiting:
-            line = self._waiting[0]
+        """Write as many of the buffered lines as the descriptor accepts without blocking."""
+        while self._pending:
+            line = self._pending[0]
             try:
                 written = os.write(self._descriptor, line)
             except BlockingIOError:
                 return
             except OSError:
-                # There is no reader any more, so there is nowhere to say so either.
-                self._waiting.clear()
-                self._waiting_octets = 0
+                # The reader has closed its end, so the error cannot be logged there either.
+                self._pending.clear()
+                self._pending_bytes = 0
                 return
-            self._waiting_octets -= written
+            self._pending_bytes -= written
             if written == len(line):
-                self._waiting.popleft()
+                self._pending.popleft()
             else:
-                self._waiting[0] = line[written:]
+                self._pending[0] = line[written:]
--- a/src/carobhook/logs.py
+++ b/src/carobhook/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line for each event."""
+"""Structured logs with one line for each event."""
 
 import enum
 import json
@@ -15,7 +15,7 @@
 
 from carobhook import events, settings
 
-_PLAIN = re.compile(r"[A-Za-z0-9_.:/@+%*<>\[\](),-]+")
+_UNQUOTED = re.compile(r"[A-Za-z0-9_.:/@+%*<>\[\](),-]+")
 _logger = logging.getLogger("carobhook")
 
 
@@ -23,8 +23,8 @@
     """Log one event with its fields at the info level.
 
     Args:
-        name: An event, or the name of one in `events.Event`.
-        fields: Values shown as ``key=value``.
+        name: A member of `events.Event`, or the name of one.
+        fields: Fields of the line, by name.
     """
     _log(logging.INFO, name, fields)
 
@@ -49,12 +49,12 @@
 def setup(
     log_settings: settings.LogSettings, stream: typing.TextIO, instance: str = ""
 ) -> None:
-    """Write events to a stream, and warnings of libraries as well.
+    """Configure logging of events and of libraries' warnings to a stream.
 
     Args:
-        log_settings: Form and level.
-        stream: Where the lines go.
-        instance: Name put into every line, none when empty.
+        log_settings: Format and lowest level of the lines.
+        stream: Stream that the lines are written to.
+        instance: Name of the instance, which each line carries unless it is empty.
     """
     setup_handler(log_settings, logging.StreamHandler(stream), instance)
 
@@ -62,18 +62,20 @@
 def setup_handler(
     log_settings: settings.LogSettings, handler: logging.Handler, instance: str = ""
 ) -> None:
-    """Give events to a handler, and warnings of libraries as well.
+    """Configure logging of events and of libraries' warnings to a handler.
+
+    A handler that an earlier call has set up is removed.
 
     Args:
-        log_settings: Form and level.
-        handler: What writes them.
-        instance: Name put into every line, none when empty.
+        log_settings: Format and lowest level of the lines.
+        handler: Handler that writes the lines.
+        instance: Name of the instance, which each line carries unless it is empty.
     """
     handler.setFormatter(formatter(log_settings.form, instance))
     root = logging.getLogger()
-    for old in list(root.handlers):
-        if hasattr(old, "carobhook"):
-            root.removeHandler(old)
+    for previous in list(root.handlers):
+        if hasattr(previous, "carobhook"):
+            root.removeHandler(previous)
     handler.carobhook = True  # type: ignore[attr-defined]
     root.addHandler(handler)
     root.setLevel(logging.WARNING)
@@ -81,20 +83,20 @@
 
 
 def follow_twisted() -> None:
-    """Make events of the failures and warnings that twisted logs; once in a process."""
+    """Log the failures and warnings of twisted as events; call this once in a process."""
     twisted_logger.globalLogBeginner.beginLoggingTo(
-        [observe], discardBuffer=True, redirectStandardIO=False
+        [forward_twisted_event], discardBuffer=True, redirectStandardIO=False
     )
 
 
 def formatter(form: str, instance: str = "") -> logging.Formatter:
-    """Return the formatter of a log form, one of `settings.LOG_FORMS`."""
+    """Return the formatter for a log format, which is one of `settings.LOG_FORMS`."""
     return JsonFormatter(instance) if form == "json" else KeyValueFormatter(instance)
 
 
 @interface.implementer(twisted_logger.ILogObserver)
-def observe(entry: twisted_logger.LogEvent) -> None:
-    """Pass on what twisted logs: failures as errors, warnings as such, no chatter."""
+def forward_twisted_event(entry: twisted_logger.LogEvent) -> None:
+    """Log a failure of twisted as an error and a warning as a warning; ignore the rest."""
     level = entry.get("log_level")
     failure = entry.get("log_failure")
     if failure is not None:
@@ -109,30 +111,34 @@
 
 
 def _fields(record: logging.LogRecord, instance: str) -> dict[str, Any]:
-    """Return time, level, event and fields of a record; other libraries' text is a field."""
-    found: dict[str, Any] = {
-        "time": _timestamp(record.created),
+    """Return all fields of a line; the message of another library is the field ``text``.
+
+    A field of an event whose name is taken gets the prefix ``field_``, unless the values are
+    equal.
+    """
+    fields: dict[str, Any] = {
+        "time": _format_timestamp(record.created),
         "level": record.levelname.lower(),
     }
     if instance:
-        found["instance"] = instance
+        fields["instance"] = instance
     if hasattr(record, "event"):
-        found["event"] = record.event
+        fields["event"] = record.event
         for key, value in getattr(record, "fields", {}).items():
-            if found.setdefault(key, value) != value:
-                found[f"field_{key}"] = value
+            if fields.setdefault(key, value) != value:
+                fields[f"field_{key}"] = value
     else:
-        found |= {"event": events.Event.LIBRARY.value.name, "logger": record.name}
-        found["text"] = record.getMessage()
+        fields |= {"event": events.Event.LIBRARY.value.name, "logger": record.name}
+        fields["text"] = record.getMessage()
     if record.exc_info and record.exc_info[0]:
-        found["trace"] = "".join(traceback.format_exception(*record.exc_info))
-    return found
+        fields["trace"] = "".join(traceback.format_exception(*record.exc_info))
+    return fields
 
 
-def _timestamp(seconds: float) -> str:
+def _format_timestamp(seconds: float) -> str:
     """Return wall-clock seconds as an ISO 8601 time in UTC, to the millisecond."""
-    whole, millis = divmod(int(seconds * 1000), 1000)
-    return time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(whole)) + f".{millis:03d}Z"
+    whole_s, millis = divmod(int(seconds * 1000), 1000)
+    return time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(whole_s)) + f".{millis:03d}Z"
 
 
 class KeyValueFormatter(logging.Formatter):
@@ -145,7 +151,7 @@
     def format(self, record: logging.LogRecord) -> str:
         """Return the line."""
         pairs = _fields(record, self._instance).items()
-        return " ".join(f"{_plain_key(key)}={_plain_value(value)}" for key, value in pairs)
+        return " ".join(f"{_format_key(key)}={_format_value(value)}" for key, value in pairs)
 
 
 class JsonFormatter(jsonlogger.JsonFormatter):
@@ -164,7 +170,7 @@
 
 
 def _json_value(value: object) -> object:
-    """Return a value that JSON has; enums give their values, others their text."""
+    """Return a value that JSON can represent: an enum's value, or the text of other types."""
     if isinstance(value, enum.Enum):
         return _json_value(value.value)
     if value is None or isinstance(value, (bool, int, float, str)):
@@ -174,18 +180,18 @@
     return str(value)
 
 
-def _plain_key(key: str) -> str:
-    return key if _PLAIN.fullmatch(key) and "=" not in key else json.dumps(key)
+def _format_key(key: str) -> str:
+    return key if _UNQUOTED.fullmatch(key) and "=" not in key else json.dumps(key)
 
 
-def _plain_value(value: object) -> str:
-    """Return a value as it stands, or quoted as JSON when it has spaces or the like."""
-    plain = _json_value(value)
-    if isinstance(plain, bool) or plain is None:
-        return json.dumps(plain)
-    if isinstance(plain, float):
-        return f"{plain:.6g}"
-    if isinstance(plain, list):
-        plain = ",".join(str(item) for item in plain)
-    text = str(plain)
-    return text if _PLAIN.fullmatch(text) else json.dumps(text, ensure_ascii=True)
+def _format_value(value: object) -> str:
+    """Return the text of a value, quoted as in JSON if it has spaces or special characters."""
+    simple = _json_value(value)
+    if isinstance(simple, bool) or simple is None:
+        return json.dumps(simple)
+    if isinstance(simple, float):
+        return f"{simple:.6g}"
+    if isinstance(simple, list):
+        simple = ",".join(str(item) for item in simple)
+    text = str(simple)
+    return text if _UNQUOTED.fullmatch(text) else json.dumps(text, ensure_ascii=True)
--- a/src/carobhook/reference.py
+++ b/src/carobhook/reference.py
@@ -1,4 +1,4 @@
-"""Reference pages made from the code: result codes, settings and metrics."""
+"""Generates the reference pages of result codes, events, metrics and settings."""
 
 import enum
 import pathlib
@@ -13,12 +13,12 @@
 
 
 def code_name(code: codes.Code) -> str:
-    """Return a code's name as people write it, such as ``queue-full``."""
+    """Return the name of a code in lower case with hyphens, such as ``no-route``."""
     return code.name.lower().replace("_", "-")
 
 
 def codes_page() -> str:
-    """Return docs/CODES.md."""
+    """Return the text of docs/CODES.md."""
     rows = [
         (
             str(code.number),
@@ -51,7 +51,7 @@
 
 
 def settings_page() -> str:
-    """Return docs/SETTINGS.md."""
+    """Return the text of docs/SETTINGS.md."""
     lines = [
         "# Settings",
         "",
@@ -75,7 +75,7 @@
 
 
 def events_page() -> str:
-    """Return docs/EVENTS.md."""
+    """Return the text of docs/EVENTS.md."""
     rows = [(f"`{event.value.name}`", event.value.text) for event in events.Event]
     return "\n".join(
         (
@@ -95,8 +95,8 @@
 
 
 def metrics_page() -> str:
-    """Return docs/METRICS.md."""
-    served = [
+    """Return the text of docs/METRICS.md."""
+    rows = [
         (f"`{info.name}`", info.kind.value, ", ".join(info.labels), info.text)
         for info in (metric.value for metric in entry_metrics.EntryMetric)
     ]
@@ -109,7 +109,7 @@
             "",
             "Made by `make docs`.",
             "",
-            *_table(("Name", "Kind", "Labels", "Meaning"), served),
+            *_table(("Name", "Kind", "Labels", "Meaning"), rows),
             "",
         )
     )
@@ -140,7 +140,7 @@
 
 
 def main(directory: pathlib.Path) -> None:
-    """Write every page below a directory."""
+    """Write all pages to a directory."""
     for name, page in PAGES.items():
         (directory / name).write_text(page(), "utf-8")
 
--- a/src/carobhook/request_trace.py
+++ b/src/carobhook/request_trace.py
@@ -1,4 +1,4 @@
-"""Finds what became of a request in the log lines of many instances."""
+"""Determines the outcome of a request from the log lines of many instances."""
 
 import json
 from collections.abc import Iterable, Mapping
@@ -8,21 +8,22 @@
 
 from carobhook.state import codes
 
-_BY_NUMBER = {code.number: code for code in codes.Code}
-_ENDS = frozenset({"request-ended", "request-refused"})
-# What the fields of a line say by themselves.
-_PLAIN_FIELDS = frozenset({"time", "level", "instance", "event", "request"})
+_CODES_BY_NUMBER = {code.number: code for code in codes.Code}
+_FINAL_EVENTS = frozenset({"request-ended", "request-refused"})
+# Fields that are not kept in `LogLine.fields`: they have attributes of their own, or say
+# nothing about the request.
+_COMMON_FIELDS = frozenset({"time", "level", "instance", "event", "request"})
 
 
 @attrs.frozen
-class Line:
+class LogLine:
     """One log line about a request.
 
     Attributes:
-        time: Time of the instance's clock, as written.
-        instance: Instance that wrote it.
+        time: Wall-clock time of the instance, as in the line.
+        instance: Instance that wrote the line.
         event: Name of the event.
-        fields: The other fields.
+        fields: Fields of the event, without those that all lines have.
     """
 
     time: str
@@ -31,101 +32,107 @@
     fields: Mapping[str, Any]
 
     def __str__(self) -> str:
-        """Return the line for people."""
-        told = " ".join(f"{key}={value}" for key, value in self.fields.items())
-        return f"{self.time} {self.instance} {self.event} {told}".rstrip()
+        """Return the line in a form for people to read."""
+        pairs = " ".join(f"{key}={value}" for key, value in self.fields.items())
+        return f"{self.time} {self.instance} {self.event} {pairs}".rstrip()
 
 
 @attrs.frozen
 class Trace:
-    """All lines of one request, in the order of their times.
+    """All log lines of one request, sorted by time.
 
     Attributes:
         request: Id that the client gave to its attempt.
-        lines: The lines.
+        lines: The sorted lines.
     """
 
     request: str
-    lines: tuple[Line, ...]
+    lines: tuple[LogLine, ...]
 
     @property
     def code(self) -> codes.Code | None:
-        """Return the result code that it ended with, or None if no line tells."""
+        """Return the result code of the request, or None if no line has it."""
         for line in reversed(self.lines):
-            if line.event in _ENDS and line.fields.get("code") in _BY_NUMBER:
-                return _BY_NUMBER[line.fields["code"]]
+            if line.event in _FINAL_EVENTS and line.fields.get("code") in _CODES_BY_NUMBER:
+                return _CODES_BY_NUMBER[line.fields["code"]]
         return None
 
     @property
     def failed(self) -> bool:
-        """Tell whether it did not end with a success of a server."""
+        """Return whether the request failed: its code is not OK, or a status is 500 or more.
+
+        A request whose result code is unknown does not count as failed.
+        """
         if self.code is not codes.Code.OK:
             return self.code is not None
         return any(line.fields.get("status", 0) >= 500 for line in self.lines)
 
     @property
     def cause(self) -> str:
-        """Return in a sentence why it ended as it did."""
-        end = next((line for line in reversed(self.lines) if line.event in _ENDS), None)
-        if end is None or self.code is None:
+        """Return a sentence that explains the outcome of the request."""
+        final = next(
+            (line for line in reversed(self.lines) if line.event in _FINAL_EVENTS), None
+        )
+        if final is None or self.code is None:
             return "No line tells how the request ended."
-        return _sentence(self.code, end, self.lines)
+        return _describe_outcome(self.code, final, self.lines)
 
 
 def read(lines: Iterable[str]) -> dict[str, Trace]:
-    """Return the requests that log lines tell of, by id.
+    """Return the traces of all requests in a sequence of log lines, by request id.
 
     Args:
-        lines: Lines of any number of instances, each with a JSON object, which other text may
-            stand before. Lines without one, or about no request, are passed over.
+        lines: Lines of any number of instances. Each may hold other text before its JSON
+            object. Lines without a JSON object or without a request id are skipped.
     """
-    found: dict[str, list[Line]] = {}
+    lines_by_request: dict[str, list[LogLine]] = {}
     for text in lines:
-        plain = _object(text)
-        if plain is None or not isinstance(plain.get("request"), str):
+        record = _parse_object(text)
+        if record is None or not isinstance(record.get("request"), str):
             continue
-        fields = {key: value for key, value in plain.items() if key not in _PLAIN_FIELDS}
-        line = Line(
-            str(plain.get("time", "")),
-            str(plain.get("instance", "")),
-            str(plain.get("event", "")),
+        fields = {key: value for key, value in record.items() if key not in _COMMON_FIELDS}
+        line = LogLine(
+            str(record.get("time", "")),
+            str(record.get("instance", "")),
+            str(record.get("event", "")),
             fields,
         )
-        found.setdefault(plain["request"], []).append(line)
+        lines_by_request.setdefault(record["request"], []).append(line)
     return {
-        request: Trace(request, tuple(sorted(held, key=lambda line: line.time)))
-        for request, held in found.items()
+        request: Trace(request, tuple(sorted(unsorted, key=lambda line: line.time)))
+        for request, unsorted in lines_by_request.items()
     }
 
 
-def _object(text: str) -> dict[str, Any] | None:
+def _parse_object(text: str) -> dict[str, Any] | None:
+    """Return the JSON object that begins at the first brace of a line, or None."""
     start = text.find("{")
     if start < 0:
         return None
     try:
-        plain = json.loads(text[start:])
+        value = json.loads(text[start:])
     except ValueError:
         return None
-    return plain if isinstance(plain, dict) else None
+    return value if isinstance(value, dict) else None
 
 
-def _sentence(code: codes.Code, end: Line, lines: tuple[Line, ...]) -> str:
-    fields = end.fields
-    where = f"at {end.instance}" if end.instance else "at an instance"
-    broken = [line for line in lines if line.event == "exchange-broken"]
+def _describe_outcome(code: codes.Code, final: LogLine, lines: tuple[LogLine, ...]) -> str:
+    fields = final.fields
+    location = f"at {final.instance}" if final.instance else "at an instance"
+    failed_exchanges = [line for line in lines if line.event == "exchange-broken"]
     if code is codes.Code.OK:
         answer = f"Server {fields.get('server')} answered {fields.get('status')}"
-        return f"{answer} in {fields.get('total_ms')} ms, {where}."
-    text = f"{code.value.text} It ended {where} after {fields.get('total_ms', 0)} ms"
+        return f"{answer} in {fields.get('total_ms')} ms, {location}."
+    text = f"{code.value.text} It ended {location} after {fields.get('total_ms', 0)} ms"
     if fields.get("sends"):
         text += f" and {fields['sends']} sends, the last to server {fields.get('server')}"
-    if broken:
-        last = broken[-1].fields
+    if failed_exchanges:
+        last = failed_exchanges[-1].fields
         text += f"; the exchange with {last.get('server')} failed: {last.get('error')}"
-    late = next((line for line in lines if line.event == "work-ended-late"), None)
-    if late is not None:
-        after = f"after {late.fields.get('total_ms')} ms"
-        text += f"; its work ended {after} with status {late.fields.get('status')}"
+    late_end = next((line for line in lines if line.event == "work-ended-late"), None)
+    if late_end is not None:
+        duration = f"after {late_end.fields.get('total_ms')} ms"
+        text += f"; its work ended {duration} with status {late_end.fields.get('status')}"
     if fields.get("detail"):
         text += f"; decided from {fields['detail']}"
     return text + "."
--- a/src/carobhook/settings.py
+++ b/src/carobhook/settings.py
@@ -1,4 +1,4 @@
-"""Settings that every program of the product has, and their faults."""
+"""Settings tables shared by all programs, and the errors of settings files."""
 
 import pathlib
 from typing import Any
@@ -11,20 +11,20 @@
 LOG_LEVELS = ("debug", "info", "warning", "error")
 
 
-class SettingsFault(tables.TableFault):
-    """One fault of a settings file."""
+class InvalidSettingError(tables.TableError):
+    """One error of a settings file."""
 
 
-class SettingsError(ExceptionGroup[SettingsFault]):
-    """Every fault of a settings file."""
+class SettingsError(ExceptionGroup[InvalidSettingError]):
+    """All errors of a settings file."""
 
     def derive(self, excs: Any, /) -> "SettingsError":  # type: ignore[override]
-        """Return a group of the same kind with other faults."""
+        """Return a group of the same class with other errors."""
         return SettingsError(self.message, excs)
 
 
 class TlsFilesError(Exception):
-    """A file of the settings' table tls cannot be used."""
+    """A file that the ``tls`` table names cannot be read or is not valid."""
 
 
 @attrs.frozen
@@ -77,5 +77,5 @@
         return path.read_text("utf-8")
     except (OSError, UnicodeDecodeError) as error:
         reason = getattr(error, "strerror", None) or "not UTF-8"
-        fault = SettingsFault("", "", reason, "a readable UTF-8 file")
-        raise SettingsError(str(path), [fault]) from error
+        setting_error = InvalidSettingError("", "", reason, "a readable UTF-8 file")
+        raise SettingsError(str(path), [setting_error]) from error
--- a/src/carobhook/tables.py
+++ b/src/carobhook/tables.py
@@ -1,4 +1,4 @@
-"""Reads TOML tables into attrs values and reports every fault of a file at once."""
+"""Reads TOML tables into attrs values and reports all errors of a file at once."""
 
 import difflib
 import enum
@@ -17,7 +17,7 @@
 
 
 class Unknown(enum.Enum):
-    """Stands for the value of a table or key that is not known."""
+    """Marks the value of an unknown table or key in a `TableError`."""
 
     UNKNOWN = "unknown"
 
@@ -25,16 +25,16 @@
 UNKNOWN = Unknown.UNKNOWN
 
 
-class TableFault(Exception):  # noqa: N818 - a fault of a file, reported inside a group.
-    """One fault of a file.
+class TableError(Exception):
+    """One error of a file.
 
     Attributes:
         table: Name of the table, such as ``store``; empty for the whole file.
-        key: Name of the key; empty when the fault is about the table.
-        value: The value found, None when it is missing.
-        expected: What was expected.
-        line: Line in the file from 1, None when it is not known.
-        suggestion: Nearest known name for an unknown table or key.
+        key: Name of the key; empty when the error is about the table.
+        value: The value in the file; None when it is missing, UNKNOWN for an unknown name.
+        expected: Description of the accepted values.
+        line: Line number in the file, counted from 1, or None if it could not be determined.
+        suggestion: Most similar known name for an unknown table or key, or None.
     """
 
     def __init__(
@@ -56,13 +56,13 @@
         self.suggestion = suggestion
 
     def __str__(self) -> str:
-        """Return the fault as one line, without the name of the file."""
-        place = ".".join(part for part in (self.table, self.key) if part) or "file"
+        """Return the error as one line, without the name of the file."""
+        location = ".".join(part for part in (self.table, self.key) if part) or "file"
         line = f"line {self.line}: " if self.line else ""
         hint = f"; did you mean {self.suggestion!r}?" if self.suggestion else ""
-        return f"{line}{place}: {self._found()}, expected {self.expected}{hint}"
+        return f"{line}{location}: {self._describe_value()}, expected {self.expected}{hint}"
 
-    def _found(self) -> str:
+    def _describe_value(self) -> str:
         if self.value is None:
             return "is missing"
         if self.value is UNKNOWN:
@@ -74,13 +74,17 @@
 
 @attrs.frozen
 class Lines:
-    """Lines of a TOML text on which its tables and keys stand."""
+    """Line numbers of the tables and keys of a TOML text."""
 
     _numbers: Mapping[tuple[str, str], int]
 
     @classmethod
     def scan(cls, text: str) -> "Lines":
-        """Return the lines found by a scan; unusual spellings are left out."""
+        """Return the line numbers that a line-by-line scan of a text finds.
+
+        Spellings that the patterns do not match, such as quoted keys with spaces or keys of
+        inline tables, have no line number.
+        """
         numbers: dict[tuple[str, str], int] = {}
         table = ""
         for number, line in enumerate(text.splitlines(), start=1):
@@ -91,94 +95,94 @@
                 numbers.setdefault((table, key[1]), number)
         return cls(numbers)
 
-    def of(self, table: str, key: str = "") -> int | None:
-        """Return the line of a key, else of its table, else None."""
+    def find(self, table: str, key: str = "") -> int | None:
+        """Return the line number of a key, else of its table, or None if neither is known."""
         return self._numbers.get((table, key)) or self._numbers.get((table, ""))
 
 
-def parse(text: str, fault_type: type[TableFault] = TableFault) -> dict[str, Any]:
-    """Parse TOML.
+def parse(text: str, error_type: type[TableError] = TableError) -> dict[str, Any]:
+    """Parse a TOML text.
 
     Args:
         text: The text.
-        fault_type: Class of the fault to raise.
+        error_type: Class of the error to raise.
 
     Raises:
-        TableFault: The text is not TOML.
+        TableError: The text is not valid TOML.
     """
     try:
         return tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         line = _ERROR_LINE.search(str(error))
         number = int(line[1]) if line else None
-        raise fault_type("", "", str(error), "valid TOML", line=number) from error
+        raise error_type("", "", str(error), "valid TOML", line=number) from error
     except RecursionError as error:
-        raise fault_type("", "", "nested too deeply", "valid TOML") from error
+        raise error_type("", "", "nested too deeply", "valid TOML") from error
 
 
 class Reader:
-    """Builds attrs values from tables and collects the faults met on the way.
+    """Builds attrs values from tables and collects the errors found meanwhile.
 
     Args:
-        lines: Where the tables and keys stand.
-        fault_type: Class of the faults to make.
+        lines: Line numbers of the tables and keys.
+        error_type: Class of the collected errors.
     """
 
-    def __init__(self, lines: Lines, fault_type: type[TableFault]) -> None:
+    def __init__(self, lines: Lines, error_type: type[TableError]) -> None:
         self._lines = lines
-        self._fault_type = fault_type
-        self._faults: list[TableFault] = []
+        self._error_type = error_type
+        self._errors: list[TableError] = []
 
     @property
-    def faults(self) -> tuple[TableFault, ...]:
-        """Return the faults met so far, in the order of the file where it is known."""
-        return tuple(sorted(self._faults, key=lambda fault: fault.line or 0))
+    def errors(self) -> tuple[TableError, ...]:
+        """Return the errors found so far, by line; those without a line come first."""
+        return tuple(sorted(self._errors, key=lambda error: error.line or 0))
 
     def read(self, kind: type[Any], table: str, content: Any, **fixed: Any) -> Any:
-        """Return the value of one table, or None when the table has faults.
+        """Return the value of one table, or None if the table has errors.
 
         Args:
             kind: attrs class whose fields carry `checks.Check` validators.
-            table: Name of the table, for reports.
-            content: What the file holds there.
-            fixed: Fields that do not stand in the table, such as its own name.
+            table: Name of the table, for messages.
+            content: The table as parsed from the file.
+            fixed: Values of fields that the table does not hold, such as its own name.
         """
         if not isinstance(content, dict):
             self.report(table, "", content, "a table")
             return None
-        before = len(self._faults)
+        error_count = len(self._errors)
         fields = {f.name: f for f in attrs.fields(kind) if f.name not in fixed}
         self._check_unknown(table, content, fields)
         for field in fields.values():
             self._check_field(table, field, content)
-        if len(self._faults) > before:
+        if len(self._errors) > error_count:
             return None
         return kind(**content, **fixed)
 
     def report(
         self, table: str, key: str, value: object, expected: str, suggestion: str | None = None
     ) -> None:
-        """Note one fault."""
-        line = self._lines.of(table, key)
-        self._faults.append(
-            self._fault_type(table, key, value, expected, line=line, suggestion=suggestion)
+        """Record one error."""
+        line = self._lines.find(table, key)
+        self._errors.append(
+            self._error_type(table, key, value, expected, line=line, suggestion=suggestion)
         )
 
     def report_unknown_tables(
         self, content: Mapping[str, Any], known: typing.Iterable[str]
     ) -> None:
-        """Note every table or top-level key that is not known."""
+        """Record an error for each unknown table or top-level key."""
         names = tuple(known)
         for name in content:
             if name not in names:
                 self.report_unknown(name, "", names)
 
     def report_unknown(self, table: str, key: str, known: typing.Iterable[str]) -> None:
-        """Note an unknown key, or an unknown table when ``key`` is empty."""
+        """Record an unknown key, or an unknown table when ``key`` is empty."""
         names = sorted(known)
-        near = difflib.get_close_matches(key or table, names, n=1, cutoff=0.5)
+        matches = difflib.get_close_matches(key or table, names, n=1, cutoff=0.5)
         expected = "one of " + ", ".join(names)
-        self.report(table, key, UNKNOWN, expected, near[0] if near else None)
+        self.report(table, key, UNKNOWN, expected, matches[0] if matches else None)
 
     def _check_unknown(self, table: str, content: dict[str, Any], fields: Mapping) -> None:
         for key in content:
@@ -191,21 +195,22 @@
                 self.report(table, field.name, None, field.validator.expected)
             return
         value = content[field.name]
-        for key, item, expected in _wrong(field, value):
-            self.report(*_place(table, key), item, expected)
+        for path, item, expected in _invalid_values(field, value):
+            self.report(*_table_and_key(table, path), item, expected)
 
 
-def _wrong(field: Any, value: Any) -> Iterator[tuple[tuple[str, ...], Any, str]]:
-    """Yield path, value and expectation of each wrong part of one field's value."""
+def _invalid_values(field: Any, value: Any) -> Iterator[tuple[tuple[str, ...], Any, str]]:
+    """Yield the path, value and expectation of each invalid part of one field's value."""
     check = field.validator
-    if check.each is None or not isinstance(value, dict):
+    if check.item_check is None or not isinstance(value, dict):
         if not check.accepts(value):
             yield (field.name,), value, check.expected
         return
     for name, item in value.items():
-        if not check.each.accepts(item):
-            yield (field.name, name), item, check.each.expected
+        if not check.item_check.accepts(item):
+            yield (field.name, name), item, check.item_check.expected
 
 
-def _place(table: str, path: tuple[str, ...]) -> tuple[str, str]:
+def _table_and_key(table: str, path: tuple[str, ...]) -> tuple[str, str]:
+    """Return the dotted name of the table that holds a value, and the value's key."""
     return ".".join((table, *path[:-1])), path[-1]
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -11,7 +11,7 @@
 
 
 def logged_names(path):
-    """Yield the event names that a module gives to `carobhook.logs` as strings."""
+    """Yield the event names that a module passes to `carobhook.logs` as strings."""
     for node in ast.walk(ast.parse(path.read_text("utf-8"))):
         if (
             isinstance(node, ast.Call)
@@ -25,10 +25,10 @@
 
 
 class TestEvent:
-    """The list of events."""
+    """The catalog of events."""
 
-    def test_every_name_that_is_logged_is_listed(self):
-        """A name at a call is one of `events.Event`; add new ones there, then `make docs`."""
+    def test_every_logged_name_is_listed(self):
+        """Each logged name is in `events.Event`; add new ones there and run `make docs`."""
         logged = {name for path in _SOURCE.rglob("*.py") for name in logged_names(path)}
 
         assert "config-in-force" in logged
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -10,47 +10,47 @@
 
 def record(level=logging.INFO, **fields):
     """Return a record of an event."""
-    made = logging.LogRecord("carobhook", level, "", 0, "event", (), None)
-    made.fields = fields
-    return made
+    event = logging.LogRecord("carobhook", level, "", 0, "event", (), None)
+    event.fields = fields
+    return event
 
 
 class TestImportance:
-    """What goes first when not all lines can be written."""
+    """Order in which lines are dropped when not all can be written."""
 
-    def test_failures_and_beliefs_before_successes(self):
-        """A line of a plain success is worth least, one of a belief most."""
+    def test_successes_rank_below_failures_and_state_changes(self):
+        """A success is least important, a line that is about no request most important."""
         success = record(request="1", code=1000, sends=1)
         refused = record(request="1", code=1012, sends=0)
-        belief = record(server="i-1")
-        order = [log_output.importance_of(one) for one in (belief, refused, success)]
+        state_change = record(server="i-1")
+        order = [log_output.importance_of(one) for one in (state_change, refused, success)]
         assert order == sorted(order)
         assert len(set(order)) == 3
 
 
 class TestLineBudget:
-    """Lines in a flood."""
+    """Lines that are dropped under load."""
 
-    def test_flood_of_requests_leaves_room_for_beliefs(self):
-        """At 5,000 lines a second, successes are left out and counted, beliefs written."""
+    def test_flood_of_requests_does_not_displace_state_changes(self):
+        """At 5,000 lines a second, successes are dropped and counted, state changes written."""
         budget = log_output.LineBudget()
         written = dict.fromkeys(log_output.Importance, 0)
         for number in range(10_000):
             now = number / 5000
             low = log_output.Importance.LOW
-            written[low] += budget.admits(low, now)
+            written[low] += budget.try_consume(low, now)
             if number % 100 == 0:
                 high = log_output.Importance.HIGH
-                written[high] += budget.admits(high, now)
+                written[high] += budget.try_consume(high, now)
         assert written[log_output.Importance.HIGH] == 100
         assert written[log_output.Importance.LOW] < 1000
         assert budget.omitted_total == 10_000 - written[log_output.Importance.LOW]
-        assert budget.take_omitted() == {"low": budget.omitted_total}
-        assert budget.take_omitted() == {}
+        assert budget.collect_omitted() == {"low": budget.omitted_total}
+        assert budget.collect_omitted() == {}
 
 
 class TestLineHandler:
-    """Output that nobody reads."""
+    """Output to a reader that is slow or gone."""
 
     @pytest.fixture
     def pipe(self):
@@ -64,7 +64,7 @@
                 continue
 
     def test_stuck_reader_never_blocks(self, pipe):
-        """Lines wait up to a bound, then are left out and counted."""
+        """Lines are buffered up to a limit; further ones are dropped and counted."""
         budget = log_output.LineBudget()
         handler = log_output.LineHandler(pipe[1], budget)
         for _ in range(500):
@@ -72,23 +72,23 @@
             handler.format = lambda _: "z" * 4000
         assert budget.omitted_total > 0
 
-    def test_reader_that_comes_back_gets_whole_lines(self, pipe):
-        """What waited is written in order, without a cut line."""
+    def test_reader_that_resumes_gets_whole_lines(self, pipe):
+        """Buffered lines are written in order, and none is truncated."""
         handler = log_output.LineHandler(pipe[1], log_output.LineBudget())
-        handler.format = lambda made: f"{made.fields['n']:05} " + "z" * 1000
+        handler.format = lambda event: f"{event.fields['n']:05} " + "z" * 1000
         for number in range(300):
             handler.emit(record(n=number))
-        octets = b""
+        data = b""
         for _ in range(100):
-            octets += os.read(pipe[0], 65536)
+            data += os.read(pipe[0], 65536)
             handler.flush()
-            if octets.count(b"\n") == 300:
+            if data.count(b"\n") == 300:
                 break
-        lines = octets.decode().splitlines()
+        lines = data.decode().splitlines()
         assert [int(line[:5]) for line in lines] == list(range(300))
 
-    def test_closed_reader_is_no_error(self, pipe):
-        """Without a reader, lines are dropped."""
+    def test_closed_reader_raises_no_error(self, pipe):
+        """Lines are dropped when the reader has closed its end."""
         handler = log_output.LineHandler(pipe[1], log_output.LineBudget())
         os.close(pipe[0])
         handler.emit(record(server="i-1"))
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -14,7 +14,7 @@
 
 @pytest.fixture
 def root_handlers():
-    """Put back the handlers and levels that a test changes."""
+    """Restore the handlers and levels that a test changes."""
     root, own = logging.getLogger(), logging.getLogger("carobhook")
     before = list(root.handlers), root.level, own.level
     yield
@@ -22,8 +22,8 @@
     own.setLevel(before[2])
 
 
-def written(form="keyvalue", level="info", instance="addis-1"):
-    """Return a stream that events are written to from now on."""
+def setup_stream(form="keyvalue", level="info", instance="addis-1"):
+    """Configure logging to a stream and return the stream."""
     stream = io.StringIO()
     logs.setup(settings.LogSettings(form, level), stream, instance)
     return stream
@@ -34,8 +34,8 @@
     """Lines of key=value pairs."""
 
     def test_event_is_one_line_with_time_level_and_fields(self):
-        """An event's line names time, level, instance and event, then its fields."""
-        stream = written()
+        """A line starts with time, level, instance and event, followed by the fields."""
+        stream = setup_stream()
 
         logs.event("config-applied", version=7, share=0.25, whole=True, origin=None)
 
@@ -60,8 +60,8 @@
         ],
     )
     def test_value_is_quoted_when_needed(self, value, shown):
-        """A value that would break the line or the pairs is quoted as JSON."""
-        stream = written()
+        """A value that would make the line ambiguous is quoted as JSON."""
+        stream = setup_stream()
 
         logs.event("order", text=value)
 
@@ -69,16 +69,16 @@
         assert stream.getvalue().count("\n") == 1
 
     def test_field_never_replaces_time_or_event(self):
-        """A field whose name is taken gets another name, unless the value is the same."""
-        stream = written()
+        """A field whose name is taken gets a prefix, unless the values are equal."""
+        stream = setup_stream()
 
         logs.event("order", level="high", instance="addis-1")
 
         assert "level=info instance=addis-1 event=order field_level=high" in stream.getvalue()
 
-    def test_level_bounds_what_is_written(self):
-        """Events below the level of the settings are left out."""
-        stream = written(level="warning")
+    def test_events_below_the_level_are_dropped(self):
+        """Events below the level of the settings are not written."""
+        stream = setup_stream(level="warning")
 
         logs.event("quiet")
         logs.warning("loud")
@@ -93,13 +93,13 @@
 
     def test_event_is_one_object(self):
         """An event's line is a JSON object with typed values."""
-        stream = written(form="json")
+        stream = setup_stream(form="json")
 
         logs.warning("order", code=2015, text="flöte", names=("a", "b"))
 
-        found = json.loads(stream.getvalue())
-        assert found.pop("time").endswith("Z")
-        assert found == {
+        fields = json.loads(stream.getvalue())
+        assert fields.pop("time").endswith("Z")
+        assert fields == {
             "level": "warning",
             "instance": "addis-1",
             "event": "order",
@@ -111,25 +111,27 @@
 
 @pytest.mark.usefixtures("root_handlers")
 class TestLibraries:
-    """What libraries log."""
+    """Log messages of libraries."""
 
-    def test_failure_seen_by_twisted_becomes_an_error(self):
-        """An unhandled failure is an error event with its text and trace on one line."""
-        stream = written()
+    def test_failure_logged_by_twisted_is_an_error(self):
+        """An unhandled failure is an error event with its text and trace, on one line."""
+        stream = setup_stream()
 
         reason = failure.Failure(ValueError("bad\nvalue"))
-        logs.observe({"log_failure": reason, "log_level": twisted_logger.LogLevel.critical})
+        logs.forward_twisted_event(
+            {"log_failure": reason, "log_level": twisted_logger.LogLevel.critical}
+        )
 
         line = stream.getvalue()
         assert "level=error" in line and "event=unhandled-error error=ValueError" in line
         assert line.count("\n") == 1
 
-    def test_chatter_of_twisted_is_left_out(self):
-        """Messages of twisted below a warning are not written."""
-        stream = written()
+    def test_twisted_messages_below_warning_are_dropped(self):
+        """A warning of twisted is written, a message at the info level is not."""
+        stream = setup_stream()
 
         for level in (twisted_logger.LogLevel.info, twisted_logger.LogLevel.warn):
-            logs.observe(
+            logs.forward_twisted_event(
                 {"log_level": level, "log_format": "said {level}", "level": level.name}
             )
 
@@ -137,8 +139,8 @@
         assert 'event=library text="said warn"' in stream.getvalue()
 
     def test_record_of_another_logger_keeps_its_text(self):
-        """A warning of any library is a library event with its logger's name."""
-        stream = written()
+        """A warning of any library is a library event with the name of its logger."""
+        stream = setup_stream()
 
         logging.getLogger("some.library").warning("it is %s", "odd")
 
--- a/tests/test_reference.py
+++ b/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""Tests of carobhook.reference: the generated pages are those in docs."""
+"""Tests of carobhook.reference: the pages in docs are up to date."""
 
 import pathlib
 
@@ -10,9 +10,9 @@
 
 
 class TestPages:
-    """Pages made from the code."""
+    """Pages generated from the code."""
 
     @pytest.mark.parametrize("name", sorted(reference.PAGES))
-    def test_page_is_the_one_in_docs(self, name):
-        """A change of codes, settings or metrics comes with its page (`make docs`)."""
+    def test_page_in_docs_is_up_to_date(self, name):
+        """A page in docs is equal to the generated one; `make docs` updates it."""
         assert (_DOCS / name).read_text("utf-8") == reference.PAGES[name]()
--- a/tests/test_request_trace.py
+++ b/tests/test_request_trace.py
@@ -10,8 +10,8 @@
 
 def line(request="r1", event="request-ended", time="2026-01-01T00:00:01.000Z", **fields):
     """Return a log line as an instance writes it."""
-    told = {"time": time, "level": "info", "instance": "one", "event": event}
-    return json.dumps(told | {"request": request} | fields)
+    common = {"time": time, "level": "info", "instance": "one", "event": event}
+    return json.dumps(common | {"request": request} | fields)
 
 
 REFUSED = line(code=1012, status=503, total_ms=1.0, sends=0, detail="running=4/4 waiting=9")
@@ -28,28 +28,28 @@
 
 
 class TestRead:
-    """Lines of many instances."""
+    """Reading log lines of several instances."""
 
-    def test_lines_are_put_in_order(self):
-        """Order of the files does not matter, and other text is passed over."""
+    def test_lines_are_sorted_by_time(self):
+        """Lines are accepted in any order, and text without a JSON object is skipped."""
         traces = request_trace.read([*reversed(BROKEN), "no json", "{", "7", SERVED])
-        assert [one.event for one in traces["r1"].lines] == [
+        assert [entry.event for entry in traces["r1"].lines] == [
             "exchange-broken",
             "request-ended",
         ]
         assert set(traces) == {"r1", "r2"}
 
-    def test_text_before_the_object_is_no_hindrance(self):
-        """Collectors put a time and a name in front of each line."""
+    def test_text_before_the_object_is_ignored(self):
+        """Log collectors put a time and a name in front of each line."""
         traces = request_trace.read([f"  12.5 node-1 {SERVED}"])
         assert traces["r2"].code is codes.Code.OK
 
 
 class TestTrace:
-    """Causes."""
+    """Causes and failures of requests."""
 
-    def test_cause_names_what_decided(self):
-        """A refusal tells the state of the queue, a lost server its name and error."""
+    def test_cause_names_queue_state_or_server_error(self):
+        """The cause of a refusal has the queue state, that of a lost server its error."""
         refused = request_trace.read([REFUSED])["r1"]
         assert "waiting=9" in refused.cause
         assert refused.failed
@@ -57,14 +57,14 @@
         assert "i-1" in broken.cause
         assert "reset: lost" in broken.cause
 
-    def test_success_is_no_failure(self):
-        """An answer of a server is told as such."""
+    def test_success_is_not_failed(self):
+        """The cause of a success names the server that answered."""
         trace = request_trace.read([SERVED])["r2"]
         assert not trace.failed
         assert "i-2" in trace.cause
 
     def test_every_code_of_a_request_has_a_sentence(self):
-        """No result code leaves the reader without a cause."""
+        """Every result code has a cause of more than a few words."""
         for code in codes.Code:
             trace = request_trace.read([line(code=code.number, status=503)])["r1"]
             assert trace.code is code
@@ -72,14 +72,14 @@
 
 
 class TestCommand:
-    """The command line."""
+    """The command explain-request."""
 
     def run(self, *arguments, text=""):
-        """Return the result of a call."""
+        """Run the command and return its result."""
         return testing.CliRunner().invoke(cli.app, ["explain-request", *arguments], input=text)
 
-    def test_one_request_of_many_files(self, tmp_path):
-        """Lines from several files are joined, and the cause is the last line."""
+    def test_lines_of_one_request_in_several_files(self, tmp_path):
+        """Lines of several files are merged, and the last line printed is the cause."""
         for number, text in enumerate([*BROKEN, SERVED]):
             (tmp_path / str(number)).write_text(text + "\n")
         files = [str(tmp_path / str(number)) for number in range(3)]
@@ -88,11 +88,11 @@
         assert result.output.splitlines()[-1].startswith("cause: ")
 
     def test_unknown_request(self):
-        """No line, no cause, exit code 1."""
+        """A request without any line gives exit code 1."""
         assert self.run("r9", text=SERVED).exit_code == 1
 
     def test_failed_requests_by_cause(self):
-        """Ids are listed by their causes, and successes left out."""
+        """Failed requests are listed by cause, without successes."""
         result = self.run("-", "--failed", "--json", text="\n".join([REFUSED, SERVED]))
         listed = json.loads(result.output)
         assert list(listed.values()) == [["r1"]]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -46,18 +46,18 @@
 """
 
 
-def faults_of(text):
-    """Return the faults of a settings text as (table, key) pairs, and the faults."""
+def errors_in(text):
+    """Return the errors of a settings text by table and key."""
     with pytest.raises(settings.SettingsError) as caught:
         entry_settings.loads(text)
-    return {(fault.table, fault.key): fault for fault in caught.value.exceptions}
+    return {(error.table, error.key): error for error in caught.value.exceptions}
 
 
 class TestLoads:
     """Reading settings from text."""
 
     def test_minimal_text_has_defaults(self):
-        """Tables that are left out take their defaults."""
+        """Missing tables get their default values."""
         loaded = entry_settings.loads(_MINIMAL)
 
         assert loaded.store.timeout_s == 1.5
@@ -65,76 +65,76 @@
         assert loaded.security.operators == {"selam": _HASH}
         assert loaded.tls == settings.TlsSettings()
 
-    def test_every_fault_is_reported_at_once(self):
-        """Missing, malformed and unknown keys of several tables come in one error."""
+    def test_all_errors_are_reported_at_once(self):
+        """One exception holds the missing and the invalid values of several tables."""
         text = _MINIMAL.replace('"127.0.0.1:1"', '"127.0.0.1:99999"')
         text = text.replace('region = "addis"\n', "", 1) + '[log]\nform = "xml"\nlevel = 3\n'
 
-        assert set(faults_of(text)) == {
+        assert set(errors_in(text)) == {
             ("place", "http"),
             ("place", "region"),
             ("log", "form"),
             ("log", "level"),
         }
 
-    def test_unknown_names_come_with_the_nearest_known_name(self):
-        """A misspelt table and a misspelt key are faults with a suggestion."""
+    def test_unknown_names_suggest_the_most_similar_known_name(self):
+        """A misspelt table and a misspelt key are errors with a suggestion."""
         text = _MINIMAL.replace("peer_key", "peerkey") + "[boundss]\n"
 
-        faults = faults_of(text)
+        errors = errors_in(text)
 
-        assert faults["security", "peerkey"].suggestion == "peer_key"
-        assert faults["boundss", ""].suggestion == "bounds"
+        assert errors["security", "peerkey"].suggestion == "peer_key"
+        assert errors["boundss", ""].suggestion == "bounds"
 
-    def test_fault_names_the_line(self):
-        """A fault of a key gives the line on which the key stands."""
+    def test_error_names_the_line(self):
+        """The error of a key gives the line number of the key."""
         text = _MINIMAL.replace("[store]", "[store]\n# comment\ntimeout_s = 0")
 
-        fault = faults_of(text)["store", "timeout_s"]
+        error = errors_in(text)["store", "timeout_s"]
 
-        assert text.splitlines()[fault.line - 1] == "timeout_s = 0"
-        assert str(fault) == (
-            f"line {fault.line}: store.timeout_s: is 0, expected a number of seconds above 0"
+        assert text.splitlines()[error.line - 1] == "timeout_s = 0"
+        assert str(error) == (
+            f"line {error.line}: store.timeout_s: is 0, expected a number of seconds above 0"
         )
 
-    def test_malformed_toml_is_one_fault_with_its_line(self):
-        """Text that is not TOML gives one fault with the parser's line."""
-        faults = faults_of("[place]\nname = \n")
+    def test_malformed_toml_is_one_error_with_its_line(self):
+        """Text that is not valid TOML gives one error with the line that the parser names."""
+        errors = errors_in("[place]\nname = \n")
 
-        assert [fault.line for fault in faults.values()] == [2]
+        assert [error.line for error in errors.values()] == [2]
 
     @pytest.mark.parametrize("value", ['"6"', '"6 s"', '"-1s"', "6", '""'])
-    def test_duration_without_a_unit_is_a_fault(self, value):
-        """Times of the agreed bounds have a number and a unit."""
-        assert ("bounds", "grace") in faults_of(_MINIMAL.replace('"6s"', value))
+    def test_invalid_duration_is_an_error(self, value):
+        """A duration is a number without a sign, directly followed by its unit."""
+        assert ("bounds", "grace") in errors_in(_MINIMAL.replace('"6s"', value))
 
-    def test_domain_without_a_region_is_a_fault(self):
-        """Each failure domain names its region."""
-        assert ("regions", "addis-a") in faults_of(
+    def test_domain_without_a_region_is_an_error(self):
+        """The region of a failure domain must be a string."""
+        assert ("regions", "addis-a") in errors_in(
             _MINIMAL.replace('addis-a = "addis"', "addis-a = 3")
         )
 
     def test_secret_is_not_shown(self):
-        """A fault of the peer key does not print the key."""
-        fault = faults_of(_MINIMAL.replace("0123456789abcdef", "secret"))[
+        """The error for an invalid peer key does not contain the key."""
+        error = errors_in(_MINIMAL.replace("0123456789abcdef", "secret"))[
             "security", "peer_key"
         ]
 
-        assert "'secret'" not in str(fault)
+        assert "'secret'" not in str(error)
 
-    def test_hash_fault_names_the_operator(self):
-        """A wrong token hash is reported under the operator's name."""
-        assert ("security.operators", "selam") in faults_of(_MINIMAL.replace(_HASH, "abc"))
+    def test_invalid_hash_names_the_operator(self):
+        """The error for an invalid token hash has the operator's name as its key."""
+        assert ("security.operators", "selam") in errors_in(_MINIMAL.replace(_HASH, "abc"))
 
-    def test_two_ports_on_one_address_are_a_fault(self):
-        """The addresses of an instance differ."""
-        assert ("place", "readiness") in faults_of(_MINIMAL.replace("0.0.1:2", "0.0.1:1"))
+    def test_address_used_twice_is_an_error(self):
+        """The ports of an instance must have different addresses."""
+        assert ("place", "readiness") in errors_in(_MINIMAL.replace("0.0.1:2", "0.0.1:1"))
 
-    def test_certificate_without_key_and_authority_is_a_fault(self):
-        """A certificate, its private key and the authority are set together."""
-        faults = faults_of(_MINIMAL + '[tls]\ncert = "a.pem"\n')
+    def test_certificate_without_key_and_authority_is_an_error(self):
+        """A certificate, its private key and the authorities must be set together."""
+        errors = errors_in(_MINIMAL + '[tls]\ncert = "a.pem"\n')
 
-        assert {("tls", "key"), ("tls", "ca")} == set(faults)
+        assert {("tls", "key"), ("tls", "ca")} == set(errors)
 
     @pytest.mark.parametrize(
         ("key", "value"),
@@ -147,26 +147,26 @@
             ("address", '"http://127.0.0.1:80"'),
         ],
     )
-    def test_value_of_a_wrong_type_or_range_is_a_fault(self, key, value):
-        """Values are not converted silently."""
+    def test_value_of_a_wrong_type_or_range_is_an_error(self, key, value):
+        """A value is not converted silently to the type that its field expects."""
         text = _MINIMAL.replace('address = "127.0.0.1:7"', f"{key} = {value}")
 
-        assert ("store", key) in faults_of(text)
+        assert ("store", key) in errors_in(text)
 
 
 class TestLoad:
     """Reading settings from files."""
 
     @pytest.mark.parametrize("name", ["zema", "tarnok"])
-    def test_examples_are_right(self, name):
-        """The example files have no faults."""
+    def test_examples_are_valid(self, name):
+        """The example files have no errors."""
         loaded = entry_settings.load(_EXAMPLES / f"{name}.toml")
 
         assert loaded.security.operators
 
     @pytest.mark.parametrize("content", [None, b"\xff\xfe"])
-    def test_unreadable_file_is_a_fault(self, tmp_path, content):
-        """A file that is missing or not UTF-8 gives a fault, not another error."""
+    def test_unreadable_file_is_a_settings_error(self, tmp_path, content):
+        """A file that is missing or not UTF-8 raises SettingsError and nothing else."""
         path = tmp_path / "settings.toml"
         if content is not None:
             path.write_bytes(content)
@@ -176,31 +176,31 @@
 
 
 class TestFuzz:
-    """Texts that nobody would write."""
+    """Random and damaged texts."""
 
     @hypothesis.settings(max_examples=150, derandomize=True, deadline=None, database=None)
     @hypothesis.given(strategies.text(max_size=200))
     def test_any_text_gives_settings_error(self, text):
-        """No text leads to another error."""
+        """No text raises another exception."""
         with pytest.raises(settings.SettingsError):
             entry_settings.loads(text)
 
     @hypothesis.settings(max_examples=150, derandomize=True, deadline=None, database=None)
     @hypothesis.given(
         lines=strategies.lists(strategies.integers(0, _MINIMAL.count("\n")), max_size=4),
-        noise=strategies.sampled_from(
+        replacement=strategies.sampled_from(
             ["=", "[x", "x = 1", "[store]", "address = []", '"', "[[log]]"]
         ),
     )
-    def test_damaged_settings_never_crash(self, lines, noise):
-        """Lines lost from a good text and noise in their place give settings or their error."""
-        kept = _MINIMAL.splitlines()
+    def test_damaged_settings_never_crash(self, lines, replacement):
+        """A valid text with some lines replaced gives settings or SettingsError."""
+        damaged = _MINIMAL.splitlines()
         for line in lines:
-            kept[line % len(kept)] = noise
+            damaged[line % len(damaged)] = replacement
 
         try:
-            loaded = entry_settings.loads("\n".join(kept))
+            loaded = entry_settings.loads("\n".join(damaged))
         except settings.SettingsError as error:
-            assert all(isinstance(f, settings.SettingsFault) for f in error.exceptions)
+            assert all(isinstance(e, settings.InvalidSettingError) for e in error.exceptions)
         else:
             assert loaded.place.name == "addis-1"
