--- a/src/carobhook/cli/explain_request.py
+++ b/src/carobhook/cli/explain_request.py
@@ -32,7 +32,7 @@
 
     Exits with 0 when the end of the request is known, and with 1 when no line tells it.
     """
-    traces = request_trace.read(_lines(files or []))
+    traces = request_trace.collect_traces(_lines(files or []))
     if failed:
         _list_failed(traces, as_json)
         return
--- a/src/carobhook/cli/local.py
+++ b/src/carobhook/cli/local.py
@@ -31,14 +31,16 @@
         engine = platform_store.PlatformStoreServer(self._reactor, memory_store.MemoryStore())
         engine.listen(demo.HOST, self._layout.ports.store)
         engine.put(names.CONFIG_KIND, names.CONFIG_NAME, demo.config())
-        client = store.PlatformStore(self._reactor, self._layout.store, _STORE_TIMEOUT_S)
+        client = store.PlatformStore(
+            self._reactor, self._layout.store_address, _STORE_TIMEOUT_S
+        )
         await service_group.ServiceGroup(self._reactor, client).start(self._layout.servers)
         for index in range(len(self._layout.instances)):
             loaded = entry_settings.loads(self._layout.settings_text(index))
             daemon = entry_daemon.EntryDaemon(loaded, self._reactor)
             await daemon.start()
             self._daemons.append(daemon)
-        typer.echo(self._layout.guide(self._layout.token))
+        typer.echo(self._layout.guide_text(self._layout.token))
         defer.ensureDeferred(self._call()).addErrback(_log_failure)
 
     async def stop(self) -> None:
@@ -52,7 +54,7 @@
     async def _call(self) -> None:
         """Send a little traffic until the stop."""
         client = platform_client.PlatformClient(
-            self._reactor, self._layout.directories, "addis", "addis-a", random.Random()
+            self._reactor, self._layout.directory_addresses, "addis", "addis-a", random.Random()
         )
         while not self._stopping:
             await client.run(demo.request_plans(), _RATE, _SPELL_S)
--- a/src/carobhook/cli/running.py
+++ b/src/carobhook/cli/running.py
@@ -29,7 +29,7 @@
     Raises:
         typer.Exit: The start failed; one line has been printed.
     """
-    logs.follow_twisted()
+    logs.forward_twisted_logs()
     run = _Run(reactor, start, stop)
     reactor.callWhenRunning(run.begin)
     reactor.addSystemEventTrigger("before", "shutdown", run.end)
--- a/src/carobhook/demo.py
+++ b/src/carobhook/demo.py
@@ -127,7 +127,7 @@
         return instances
 
     @property
-    def store(self) -> str:
+    def store_address(self) -> str:
         """Return the address of the store."""
         return f"{HOST}:{self.ports.store}"
 
@@ -137,7 +137,7 @@
         return f"{HOST}:{self.ports.operators}"
 
     @property
-    def directories(self) -> list[str]:
+    def directory_addresses(self) -> list[str]:
         """Return the addresses of the instances' directories."""
         return [
             f"{HOST}:{self.ports.directory + index}" for index in range(len(self.instances))
@@ -158,7 +158,7 @@
             for number, domain in enumerate(REGIONS, start=1)
         ]
 
-    def guide(self, token: str) -> str:
+    def guide_text(self, token: str) -> str:
         """Return instructions for using the deployment.
 
         Args:
@@ -169,7 +169,7 @@
             regions=len(set(REGIONS.values())),
             operator=self.operator_address,
             token=token,
-            directory=self.directories[0],
+            directory=self.directory_addresses[0],
             entry=f"{HOST}:{self.ports.http}",
             metrics=f"{HOST}:{self.ports.metrics}",
             host=SERVED_HOST,
@@ -187,20 +187,20 @@
         seeds = [f"{HOST}:{self.ports.peers + other}" for other in range(2) if other != index]
         sections: Mapping[str, Mapping[str, object]] = {
             "place": {**place, **addresses, "seeds": seeds},
-            "store": {"address": self.store},
+            "store": {"address": self.store_address},
             "capacity": CAPACITY,
             "bounds": BOUNDS,
             "security": {"peer_key": self.peer_key},
             "security.operators": {OPERATOR: token_hash(self.token)},
             "regions": REGIONS,
         }
-        return settings_file(sections)
+        return render_settings(sections)
 
     def processes(self, directory: pathlib.Path) -> tuple[Process, ...]:
         """Return the processes in the order in which they are started."""
         store = ("standin", "store", "--host", HOST, "--port", str(self.ports.store))
         config = ("--config", str(directory / CONFIG_FILE))
-        servers = ("standin", "servers", "--store", self.store)
+        servers = ("standin", "servers", "--store", self.store_address)
         servers_file = ("--file", str(directory / SERVERS_FILE))
         daemons = [
             Process(name, ("serve", "--settings", str(settings_path(directory, name))))
@@ -217,7 +217,7 @@
         arguments = ["standin", "clients", "--rate", f"{_RATE:g}"]
         arguments += ["--duration", f"{_DURATION_S:g}", "--region", "addis"]
         arguments += ["--failure-domain", "addis-a", "--host", SERVED_HOST]
-        for address in self.directories[:3]:
+        for address in self.directory_addresses[:3]:
             arguments += ["--directory", address]
         for service in SERVICES:
             option = "--once" if service.kind == "unsafe" else "--repeatable"
@@ -290,7 +290,7 @@
     }
 
 
-def settings_file(sections: Mapping[str, Mapping[str, object]]) -> str:
+def render_settings(sections: Mapping[str, Mapping[str, object]]) -> str:
     """Return the text of a settings file that holds the given tables."""
     return "\n\n".join(_table_text(name, table) for name, table in sections.items()) + "\n"
 
@@ -323,7 +323,7 @@
     plans = [attrs.asdict(plan) for plan in layout.servers]
     (directory / SERVERS_FILE).write_text(json.dumps(plans, indent=1), "utf-8")
     (directory / CONFIG_FILE).write_text(json.dumps(config(), indent=1), "utf-8")
-    guide = layout.guide(f"$(cat {shlex.quote(str(directory / TOKEN_FILE))})")
+    guide = layout.guide_text(f"$(cat {shlex.quote(str(directory / TOKEN_FILE))})")
     (directory / GUIDE_FILE).write_text(guide + "\n", "utf-8")
     lines = "".join(
         f"{process.name} {shlex.join(process.arguments)}\n"
--- a/src/carobhook/entry.py
+++ b/src/carobhook/entry.py
@@ -37,7 +37,7 @@
         self._budget = log_output.LineBudget()
         self._handler = log_output.LineHandler(sys.stdout.fileno(), self._budget)
         logs.setup_handler(loaded.log, self._handler, loaded.place.name)
-        logs.follow_twisted()
+        logs.forward_twisted_logs()
         self._daemon = entry_daemon.EntryDaemon(
             loaded, reactor, omitted=lambda: self._budget.omitted_total
         )
--- a/src/carobhook/entry_metrics.py
+++ b/src/carobhook/entry_metrics.py
@@ -145,6 +145,6 @@
         """Record a duration in seconds in a histogram."""
         self._collectors[metric].labels(*labels).observe(seconds)
 
-    def text(self) -> bytes:
+    def render(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self._registry)
--- a/src/carobhook/logs.py
+++ b/src/carobhook/logs.py
@@ -82,7 +82,7 @@
     _logger.setLevel(log_settings.level.upper())
 
 
-def follow_twisted() -> None:
+def forward_twisted_logs() -> None:
     """Log the failures and warnings of twisted as events; call this once in a process."""
     twisted_logger.globalLogBeginner.beginLoggingTo(
         [forward_twisted_event], discardBuffer=True, redirectStandardIO=False
--- a/src/carobhook/request_trace.py
+++ b/src/carobhook/request_trace.py
@@ -78,7 +78,7 @@
         return _describe_outcome(self.code, final, self.lines)
 
 
-def read(lines: Iterable[str]) -> dict[str, Trace]:
+def collect_traces(lines: Iterable[str]) -> dict[str, Trace]:
     """Return the traces of all requests in a sequence of log lines, by request id.
 
     Args:
--- a/src/carobhook/soak/deployment.py
+++ b/src/carobhook/soak/deployment.py
@@ -144,7 +144,7 @@
             "log": {"form": "json"},
             "regions": demo.REGIONS,
         }
-        (self._directory / f"i{index}.toml").write_text(demo.settings_file(sections), "utf-8")
+        (self._directory / f"i{index}.toml").write_text(demo.render_settings(sections), "utf-8")
 
     def start_instance(self, index: int) -> None:
         """Start the process of an instance unless it is running."""
--- a/src/carobhook/transport/entry_answers.py
+++ b/src/carobhook/transport/entry_answers.py
@@ -47,7 +47,7 @@
             answer(client_connections.own_answer(404))
             return
         headers = ((b"Content-Type", b"text/plain; version=0.0.4; charset=utf-8"),)
-        answer(http1.Response(200, b"OK", headers, self._metrics.text()))
+        answer(http1.Response(200, b"OK", headers, self._metrics.render()))
 
     def take_readiness(self, inbound: client_connections.Inbound, answer: _Answer) -> None:
         """Answer whether this instance takes clients."""
--- a/tests/test_explaining.py
+++ b/tests/test_explaining.py
@@ -35,7 +35,7 @@
 
     def trace(self, request):
         """Return what the lines tell of a request."""
-        found = request_trace.read(self.log.lines)
+        found = request_trace.collect_traces(self.log.lines)
         assert request in found, request
         return found[request]
 
--- a/tests/test_request_flow.py
+++ b/tests/test_request_flow.py
@@ -194,7 +194,7 @@
             {"time": "2", "event": "work-ended-late", "request": "a", "status": 200,
              "server": "s1", "total_ms": 1400.0},
         ]  # fmt: skip
-        trace = request_trace.read(json.dumps(line) for line in lines)["a"]
+        trace = request_trace.collect_traces(json.dumps(line) for line in lines)["a"]
         assert trace.failed
         assert trace.code is codes.Code.DEADLINE_PASSED_RUNNING
         assert "s1" in trace.cause and "1400.0 ms" in trace.cause
--- a/tests/test_request_trace.py
+++ b/tests/test_request_trace.py
@@ -32,7 +32,7 @@
 
     def test_lines_are_sorted_by_time(self):
         """Lines are accepted in any order, and text without a JSON object is skipped."""
-        traces = request_trace.read([*reversed(BROKEN), "no json", "{", "7", SERVED])
+        traces = request_trace.collect_traces([*reversed(BROKEN), "no json", "{", "7", SERVED])
         assert [entry.event for entry in traces["r1"].lines] == [
             "exchange-broken",
             "request-ended",
@@ -41,7 +41,7 @@
 
     def test_text_before_the_object_is_ignored(self):
         """Log collectors put a time and a name in front of each line."""
-        traces = request_trace.read([f"  12.5 node-1 {SERVED}"])
+        traces = request_trace.collect_traces([f"  12.5 node-1 {SERVED}"])
         assert traces["r2"].code is codes.Code.OK
 
 
@@ -50,23 +50,23 @@
 
     def test_cause_names_queue_state_or_server_error(self):
         """The cause of a refusal has the queue state, that of a lost server its error."""
-        refused = request_trace.read([REFUSED])["r1"]
+        refused = request_trace.collect_traces([REFUSED])["r1"]
         assert "waiting=9" in refused.cause
         assert refused.failed
-        broken = request_trace.read(BROKEN)["r1"]
+        broken = request_trace.collect_traces(BROKEN)["r1"]
         assert "i-1" in broken.cause
         assert "reset: lost" in broken.cause
 
     def test_success_is_not_failed(self):
         """The cause of a success names the server that answered."""
-        trace = request_trace.read([SERVED])["r2"]
+        trace = request_trace.collect_traces([SERVED])["r2"]
         assert not trace.failed
         assert "i-2" in trace.cause
 
     def test_every_code_of_a_request_has_a_sentence(self):
         """Every result code has a cause of more than a few words."""
         for code in codes.Code:
-            trace = request_trace.read([line(code=code.number, status=503)])["r1"]
+            trace = request_trace.collect_traces([line(code=code.number, status=503)])["r1"]
             assert trace.code is code
             assert len(trace.cause) > 20
 
