--- a/src/carobhook/demo.py
+++ b/src/carobhook/demo.py
@@ -29,8 +29,8 @@
 }
 # Keyed by the last letter of the failure domain's name.
 _INSTANCES_PER_DOMAIN = {"a": 2, "b": 1}
-_RATE = 20.0
-_DURATION_S = 86_400.0
+_REQUESTS_PER_S = 20.0
+_CLIENTS_DURATION_S = 86_400.0
 _PRIVATE_MODE = 0o600
 _GUIDE = """\
 The deployment is up: {instances} entry instances of {regions} regions.
@@ -214,8 +214,8 @@
         )
 
     def _client_process(self) -> Process:
-        arguments = ["standin", "clients", "--rate", f"{_RATE:g}"]
-        arguments += ["--duration", f"{_DURATION_S:g}", "--region", "addis"]
+        arguments = ["standin", "clients", "--rate", f"{_REQUESTS_PER_S:g}"]
+        arguments += ["--duration", f"{_CLIENTS_DURATION_S:g}", "--region", "addis"]
         arguments += ["--failure-domain", "addis-a", "--host", SERVED_HOST]
         for address in self.directory_addresses[:3]:
             arguments += ["--directory", address]
