--- a/src/carobhook/transport/peers.py
+++ b/src/carobhook/transport/peers.py
@@ -1,4 +1,4 @@
-"""Streams between instances: one connection in each direction, msgpack frames."""
+"""Streams of msgpack frames between instances, with one connection for each direction."""
 
 import hmac
 import secrets
@@ -18,15 +18,17 @@
 _RECONNECT_S = 0.5
 _MAX_RECONNECT_S = 2.0
 _HELLO_TIMEOUT_S = 2.0
-_SILENT_AFTER_S = 2.0
-_NONCE_OCTETS = 16
-_HELLO_OCTETS = 64 * 1024
+# A connection on which nothing is received for this long is closed. Both sides receive, as
+# heartbeats are acknowledged.
+_SILENCE_TIMEOUT_S = 2.0
+_NONCE_BYTES = 16
+_MAX_HELLO_BYTES = 64 * 1024
 
 Handler = Callable[[ids.InstanceId, typing.Any], None]
 
 
-class Wire(typing.Protocol):
-    """Codec of the messages on a stream."""
+class Codec(typing.Protocol):
+    """Encodes and decodes the messages on a stream."""
 
     def encode(self, message: typing.Any) -> bytes:
         """Return the frame of a message."""
@@ -35,87 +37,87 @@
         """Return the message of an unpacked frame.
 
         Raises:
-            framing.CodecError: The frame is of no known type or its fields are wrong.
+            framing.CodecError: The type of the frame is unknown, or its fields are invalid.
         """
 
     def unpacker(self, limit: int = framing.MAX_FRAME_BYTES) -> msgpack.Unpacker:
-        """Return a stream unpacker that holds at most so many octets."""
+        """Return a stream unpacker that buffers at most `limit` bytes."""
 
 
 def hello_proof(
     key: bytes, nonce: bytes, name: ids.InstanceId, incarnation: ids.Incarnation
 ) -> bytes:
-    """Return the proof that a hello's sender knows the shared key."""
-    text = b"\0".join([nonce, name.encode(), incarnation.encode()])
-    return hmac.digest(key, text, "sha256")
+    """Return the HMAC which proves that the sender of a hello knows the shared key."""
+    signed = b"\0".join([nonce, name.encode(), incarnation.encode()])
+    return hmac.digest(key, signed, "sha256")
 
 
 @attrs.frozen
 class Identity:
-    """What this instance shows to its peers."""
+    """Name, current run and shared key with which this instance authenticates to its peers."""
 
     name: ids.InstanceId
     incarnation: ids.Incarnation
     key: bytes = attrs.field(repr=False)
 
 
-class _Framed(protocol.Protocol):
-    """A connection that carries msgpack frames; garbage closes it."""
+class _FramedProtocol(protocol.Protocol):
+    """A connection that carries msgpack frames; invalid data closes it."""
 
-    def __init__(self, reactor: typing.Any, wire: Wire) -> None:
+    def __init__(self, reactor: typing.Any, codec: Codec) -> None:
         self._reactor = reactor
-        self._wire = wire
-        self._unpacker = wire.unpacker()
+        self._codec = codec
+        self._unpacker = codec.unpacker()
 
     def send(self, message: typing.Any) -> None:
         """Write one message."""
-        self.transport.write(self._wire.encode(message))
+        self.transport.write(self._codec.encode(message))
 
     def dataReceived(self, data: bytes) -> None:
         try:
-            self._feed(data)
+            self._handle_data(data)
         except Exception as problem:
             logs.warning("peer-stream-invalid", peer=self.transport.getPeer(), error=problem)
             self.transport.abortConnection()
 
-    def _feed(self, data: bytes) -> None:
+    def _handle_data(self, data: bytes) -> None:
         self._unpacker.feed(data)
         while True:
             try:
                 frame = self._unpacker.unpack()
             except msgpack.OutOfData:
                 return
-            self.received(self._wire.decode(frame))
+            self.handle_message(self._codec.decode(frame))
 
-    def received(self, message: typing.Any) -> None:
+    def handle_message(self, message: typing.Any) -> None:
         """Handle one message."""
         raise NotImplementedError
 
 
-class _Incoming(_Framed):
-    """Accepting side: challenges the sender, then takes in its messages."""
+class _IncomingStream(_FramedProtocol):
+    """Accepting side: authenticates the sender, then receives its messages."""
 
     def __init__(
         self,
         reactor: typing.Any,
-        wire: Wire,
+        codec: Codec,
         key: bytes,
         handler: Handler,
         on_lost: Callable[[ids.InstanceId], None],
     ) -> None:
-        super().__init__(reactor, wire)
+        super().__init__(reactor, codec)
         self._key = key
         self._handler = handler
         self._on_lost = on_lost
-        self._nonce = secrets.token_bytes(_NONCE_OCTETS)
+        self._nonce = secrets.token_bytes(_NONCE_BYTES)
         self._sender: ids.InstanceId | None = None
-        # A stranger must not make this instance hold more than a hello.
-        self._unpacker = self._wire.unpacker(_HELLO_OCTETS)
+        # An unauthenticated client must not make this instance buffer more than a hello.
+        self._unpacker = self._codec.unpacker(_MAX_HELLO_BYTES)
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         self.send(membership_messages.Challenge(self._nonce))
-        self._timer = self._reactor.callLater(_HELLO_TIMEOUT_S, self._silent)
+        self._timer = self._reactor.callLater(_HELLO_TIMEOUT_S, self._abort_silent)
 
     def connectionLost(self, reason: failure.Failure = protocol.connectionDone) -> None:
         if self._timer.active():
@@ -123,20 +125,21 @@
         if self._sender is not None:
             self._on_lost(self._sender)
 
-    def received(self, message: typing.Any) -> None:
-        self._timer.reset(_SILENT_AFTER_S)
+    def handle_message(self, message: typing.Any) -> None:
+        self._timer.reset(_SILENCE_TIMEOUT_S)
         if self._sender is None:
-            self._sender = self._check(message)
-            # The connector waits for no answer to its hello: keep what came behind it.
-            behind = self._unpacker.read_bytes(_HELLO_OCTETS)
-            self._unpacker = self._wire.unpacker()
-            self._unpacker.feed(behind)
+            self._sender = self._authenticate(message)
+            # The connecting side sends messages right after its hello, without an answer in
+            # between; they go to the new unpacker.
+            remaining = self._unpacker.read_bytes(_MAX_HELLO_BYTES)
+            self._unpacker = self._codec.unpacker()
+            self._unpacker.feed(remaining)
             return
         if isinstance(message, membership_messages.Heartbeat):
             self.send(membership_messages.HeartbeatAck())
         self._handler(self._sender, message)
 
-    def _check(self, message: typing.Any) -> ids.InstanceId:
+    def _authenticate(self, message: typing.Any) -> ids.InstanceId:
         if not isinstance(message, membership_messages.Hello):
             raise framing.CodecError(f"first message must be Hello, got {message!r:.80}")
         proof = hello_proof(self._key, self._nonce, message.name, message.incarnation)
@@ -144,33 +147,35 @@
             raise framing.CodecError(f"proof of {message.name!r} does not match the shared key")
         return message.name
 
-    def _silent(self) -> None:
+    def _abort_silent(self) -> None:
         logs.warning("peer-stream-silent", peer=self.transport.getPeer(), sender=self._sender)
         self.transport.abortConnection()
 
 
-class _Outgoing(_Framed):
-    """Connecting side: proves itself, then carries this instance's messages."""
+class _OutgoingStream(_FramedProtocol):
+    """Connecting side: authenticates itself, then sends this instance's messages."""
 
-    def __init__(self, reactor: typing.Any, wire: Wire, identity: Identity) -> None:
-        super().__init__(reactor, wire)
+    def __init__(self, reactor: typing.Any, codec: Codec, identity: Identity) -> None:
+        super().__init__(reactor, codec)
         self._identity = identity
         self.ready = False
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self._timer = self._reactor.callLater(_SILENT_AFTER_S, self._silent)
+        self._timer = self._reactor.callLater(_SILENCE_TIMEOUT_S, self._abort_silent)
 
     def close(self) -> None:
-        """Close the connection after all that waits was written."""
+        """Close the connection once all buffered data is written."""
         self.transport.loseConnection()
 
-    def received(self, message: typing.Any) -> None:
-        self._timer.reset(_SILENT_AFTER_S)
+    def handle_message(self, message: typing.Any) -> None:
+        self._timer.reset(_SILENCE_TIMEOUT_S)
         if isinstance(message, membership_messages.Challenge) and not self.ready:
-            me = self._identity
-            proof = hello_proof(me.key, message.nonce, me.name, me.incarnation)
-            self.send(membership_messages.Hello(me.name, me.incarnation, proof))
+            identity = self._identity
+            proof = hello_proof(
+                identity.key, message.nonce, identity.name, identity.incarnation
+            )
+            self.send(membership_messages.Hello(identity.name, identity.incarnation, proof))
             self.ready = True
             self.factory.on_ready(self.factory.address)
 
@@ -179,74 +184,78 @@
         if self._timer.active():
             self._timer.cancel()
 
-    def _silent(self) -> None:
+    def _abort_silent(self) -> None:
         logs.warning("peer-stream-silent", peer=self.factory.address)
         self.transport.abortConnection()
 
 
 class _Connector(protocol.ReconnectingClientFactory):
-    """Keeps one outgoing stream to an address open."""
+    """Keeps an outgoing stream to one address open."""
 
     noisy = False
 
     def __init__(
         self,
         reactor: typing.Any,
-        wire: Wire,
+        codec: Codec,
         identity: Identity,
         address: str,
         on_ready: Callable[[str], None],
     ) -> None:
         self.clock = reactor
-        self._wire = wire
+        self._codec = codec
         self.initialDelay = self.delay = _RECONNECT_S
         self.maxDelay = _MAX_RECONNECT_S
         self._identity = identity
         self.address = address
         self.on_ready = on_ready
-        self.stream: _Outgoing | None = None
+        self.stream: _OutgoingStream | None = None
 
-    def buildProtocol(self, addr: typing.Any) -> _Outgoing:
+    def buildProtocol(self, addr: typing.Any) -> _OutgoingStream:
         self.resetDelay()
-        self.stream = _Outgoing(self.clock, self._wire, self._identity)
+        self.stream = _OutgoingStream(self.clock, self._codec, self._identity)
         self.stream.factory = self
         return self.stream
 
 
 class _Acceptor(protocol.Factory):
+    """Creates the streams of accepted connections."""
+
     noisy = False
 
     def __init__(
         self,
         reactor: typing.Any,
-        wire: Wire,
+        codec: Codec,
         key: bytes,
         handler: Handler,
         on_lost: Callable[[ids.InstanceId], None],
     ) -> None:
         self._reactor = reactor
-        self._wire = wire
+        self._codec = codec
         self._key = key
         self._handler = handler
         self._on_lost = on_lost
 
-    def buildProtocol(self, addr: typing.Any) -> _Incoming:
-        stream = _Incoming(self._reactor, self._wire, self._key, self._handler, self._on_lost)
+    def buildProtocol(self, addr: typing.Any) -> _IncomingStream:
+        stream = _IncomingStream(
+            self._reactor, self._codec, self._key, self._handler, self._on_lost
+        )
         stream.factory = self
         return stream
 
 
 class PeerHub:
-    """Owns all streams to and from other instances.
+    """All streams to and from other instances.
 
     Args:
         reactor: The reactor.
-        identity: What this instance shows to its peers.
+        identity: Authenticates this instance to its peers.
         handler: Called with the sender's name and each message.
-        wire: Codec of the messages.
-        on_ready: Called with the address when a stream to it is ready.
-        on_lost: Called with the sender's name when its stream ended.
-        context: TLS context of both ends; plain TCP without.
+        codec: Encodes and decodes the messages.
+        on_ready: Called with the address when the stream to it is ready.
+        context: TLS context of both sides, None for plain TCP.
+        on_lost: Called with the sender's name when an authenticated stream from it ends.
     """
 
     def __init__(
@@ -254,13 +263,13 @@
         reactor: typing.Any,
         identity: Identity,
         handler: Handler,
-        wire: Wire,
+        codec: Codec,
         on_ready: Callable[[str], None] = lambda address: None,
         context: typing.Any = None,
         on_lost: Callable[[ids.InstanceId], None] = lambda name: None,
     ) -> None:
         self._context = context
-        self._wire = wire
+        self._codec = codec
         self._reactor = reactor
         self._identity = identity
         self._handler = handler
@@ -271,9 +280,9 @@
         self._own_address = ""
 
     def listen(self, host: str, port: int) -> int:
-        """Accept streams; return the port number."""
+        """Accept streams from other instances; return the port number."""
         acceptor = _Acceptor(
-            self._reactor, self._wire, self._identity.key, self._handler, self._on_lost
+            self._reactor, self._codec, self._identity.key, self._handler, self._on_lost
         )
         self._port = sockets.listen(self._reactor, host, port, acceptor, self._context)
         number = self._port.getHost().port
@@ -281,16 +290,16 @@
         return number
 
     def connect(self, address: str) -> None:
-        """Keep a stream to an address, unless there is one or it is this instance's own."""
+        """Open a stream to an address and keep it open; ignore this instance's own address."""
         if address in self._connectors or address == self._own_address:
             return
         connector = _Connector(
-            self._reactor, self._wire, self._identity, address, self._on_ready
+            self._reactor, self._codec, self._identity, address, self._on_ready
         )
         self._connectors[address] = connector
         host, _, port = address.rpartition(":")
         sockets.connect(
-            self._reactor, host, int(port), connector, self._context, _SILENT_AFTER_S
+            self._reactor, host, int(port), connector, self._context, _SILENCE_TIMEOUT_S
         )
 
     def send(self, address: str, message: typing.Any) -> bool:
@@ -303,14 +312,14 @@
 
     def broadcast(self, message: typing.Any) -> None:
         """Send a message on every ready stream."""
-        frame = self._wire.encode(message)
+        frame = self._codec.encode(message)
         for connector in self._connectors.values():
             if connector.stream is not None and connector.stream.ready:
                 connector.stream.transport.write(frame)
 
-    def keep(self, addresses: Collection[str]) -> None:
-        """Keep streams to some addresses, and close those to all others."""
-        for address in [held for held in self._connectors if held not in addresses]:
+    def keep_only(self, addresses: Collection[str]) -> None:
+        """Keep streams to these addresses, and close all others."""
+        for address in [known for known in self._connectors if known not in addresses]:
             connector = self._connectors.pop(address)
             connector.stopTrying()
             if connector.stream is not None and connector.stream.transport is not None:
@@ -321,7 +330,7 @@
             self.connect(address)
 
     async def stop(self) -> None:
-        """Close every stream and stop accepting."""
+        """Close all outgoing streams, and stop accepting."""
         for connector in self._connectors.values():
             connector.stopTrying()
             if connector.stream is not None and connector.stream.transport is not None:
--- a/src/carobhook/transport/slot_asks.py
+++ b/src/carobhook/transport/slot_asks.py
@@ -1,4 +1,4 @@
-"""Asks for slots of this instance's requests, and keeps what they hold."""
+"""Requests slots from dispatchers, and records which slots this instance's requests hold."""
 
 import typing
 from collections.abc import Callable
@@ -12,52 +12,68 @@
 
 Shard = tuple[ids.Region, ids.Service]
 
-_MOVED_RETRY_S = 0.02
-# A stream that ended with its instance's last run is open again within this time of its start.
+_NOT_DISPATCHER_RETRY_S = 0.02
+# The stream to an instance that restarted is open again within this time of its start. Without
+# the wait, requests would be refused although their dispatcher is about to be reachable.
 _STREAM_WAIT_S = 0.25
 _STREAM_RETRY_S = 0.05
 
 
 @attrs.define(eq=False)
-class _Pending:
-    """An ask without an answer."""
+class _PendingRequest:
+    """A slot request that is not decided yet.
+
+    Attributes:
+        request: The slot request.
+        region: Region whose dispatcher decides it.
+        result: Fires with the decision.
+        owner: Instance that it was last sent to, None if no instance is the dispatcher.
+        unsent_since: Monotonic time in seconds since which there is no stream to the owner.
+    """
 
-    ask: allocation.SlotRequest
+    request: allocation.SlotRequest
     region: ids.Region
-    answered: defer.Deferred
+    result: defer.Deferred
     owner: ids.InstanceId | None = None
     unsent_since: float | None = None
 
     @property
     def shard(self) -> Shard:
-        """Return whose dispatcher decides it."""
-        return self.region, self.ask.service
+        """Return the shard whose dispatcher decides it."""
+        return self.region, self.request.service
 
 
 @attrs.define(eq=False)
-class _Held:
-    """A slot that a request holds."""
+class _HeldSlot:
+    """A slot that a request holds.
+
+    Attributes:
+        request: The slot request.
+        region: Region of the shard.
+        server: Server of the slot.
+        owner: Instance that granted the slot.
+    """
 
-    ask: allocation.SlotRequest
+    request: allocation.SlotRequest
     region: ids.Region
     server: ids.Server
     owner: ids.InstanceId
 
     @property
     def shard(self) -> Shard:
-        """Return whose dispatcher counts it."""
-        return self.region, self.ask.service
+        """Return the shard whose dispatcher counts it."""
+        return self.region, self.request.service
 
 
-class SlotAsks:
-    """Owns the asks of this instance and the slots that its requests hold.
+class SlotClient:
+    """Pending slot requests of this instance, and the slots that its requests hold.
 
     Args:
         reactor: Source of time and timers.
-        owner_of: Returns the instance that gives out the slots of a shard, or None.
-        send: Sends a message to an instance, this one included; returns False if there is no
-            stream to it.
-        look_again: Looks again which instances give out slots.
+        owner_of: Returns the instance that dispatches for a shard, or None.
+        send: Sends a message to an instance, which may be this one; returns False if there is
+            no stream to it.
+        update_owners: Determines the owners of all shards again.
     """
 
     def __init__(
@@ -65,135 +81,157 @@
         reactor: typing.Any,
         owner_of: Callable[[Shard], ids.InstanceId | None],
         send: Callable[[ids.InstanceId, typing.Any], bool],
-        look_again: Callable[[], object],
+        update_owners: Callable[[], object],
     ) -> None:
         self._reactor = reactor
         self._owner_of = owner_of
         self._send = send
-        self._look_again = look_again
-        self._pending: dict[ids.RequestId, _Pending] = {}
-        self._held: dict[ids.RequestId, _Held] = {}
+        self._update_owners = update_owners
+        self._pending: dict[ids.RequestId, _PendingRequest] = {}
+        self._held: dict[ids.RequestId, _HeldSlot] = {}
 
     @property
-    def waiting(self) -> int:
-        """Return how many asks wait."""
+    def pending_count(self) -> int:
+        """Return the number of pending slot requests."""
         return len(self._pending)
 
-    def ask(self, ask: allocation.SlotRequest, region: ids.Region) -> defer.Deferred:
-        """Ask for a slot; fires with `SlotGrant` or `SlotRefusal`; cancelling withdraws.
+    def request_slot(
+        self, request: allocation.SlotRequest, region: ids.Region
+    ) -> defer.Deferred:
+        """Request a slot; the result fires with `SlotGrant` or `SlotRefusal`.
+
+        Cancelling the result withdraws the request.
+
+        Args:
+            request: The slot request.
+            region: Region whose dispatcher decides it.
+        """
+        result: defer.Deferred = defer.Deferred(lambda _: self._withdraw(request.id))
+        pending = _PendingRequest(request, region, result)
+        self._pending[request.id] = pending
+        self._send_request(pending)
+        return result
+
+    def release_slot(
+        self, request_id: ids.RequestId, outcome: allocation.AttemptOutcome
+    ) -> None:
+        """Return a granted slot to its dispatcher, with the outcome of the attempt.
 
         Args:
-            ask: The ask.
-            region: Region whose dispatcher is asked.
+            request_id: Id of the slot request.
+            outcome: How the attempt ended.
         """
-        answered: defer.Deferred = defer.Deferred(lambda _: self._withdraw(ask.id))
-        pending = _Pending(ask, region, answered)
-        self._pending[ask.id] = pending
-        self._place(pending)
-        return answered
-
-    def ended(self, ask_id: ids.RequestId, end: allocation.AttemptOutcome) -> None:
-        """Give a granted slot back."""
-        held = self._held.pop(ask_id, None)
+        held = self._held.pop(request_id, None)
         if held is None:
             return
         owner = self._owner_of(held.shard) or held.owner
-        self._send(owner, slot_messages.SlotReleased(ask_id, *held.shard, held.server, end))
+        self._send(
+            owner, slot_messages.SlotReleased(request_id, *held.shard, held.server, outcome)
+        )
 
-    def granted(self, owner: ids.InstanceId, grant: allocation.SlotGrant) -> None:
-        """Take in a slot."""
+    def handle_grant(self, owner: ids.InstanceId, grant: allocation.SlotGrant) -> None:
+        """Record a granted slot, and pass the grant to the requester."""
         pending = self._pending.get(grant.ask_id)
         if pending is None:
-            # It was withdrawn while the grant was on its way.
+            # The request was withdrawn while the grant was on its way.
             return
-        self._held[grant.ask_id] = _Held(pending.ask, pending.region, grant.server, owner)
-        self._answer(grant)
+        self._held[grant.ask_id] = _HeldSlot(
+            pending.request, pending.region, grant.server, owner
+        )
+        self._resolve(grant)
 
-    def refused(self, refusal: allocation.SlotRefusal) -> None:
-        """Take in a refusal."""
-        self._answer(refusal)
+    def handle_refusal(self, refusal: allocation.SlotRefusal) -> None:
+        """Pass a refusal to the requester."""
+        self._resolve(refusal)
 
-    def moved(self, ask_id: ids.RequestId) -> None:
-        """Ask again, as the instance that was asked gives out the slots no more."""
-        pending = self._pending.get(ask_id)
+    def handle_not_dispatcher(self, request_id: ids.RequestId) -> None:
+        """Resend a request that was sent to an instance which is not the dispatcher."""
+        pending = self._pending.get(request_id)
         if pending is None:
             return
-        self._look_again()
+        self._update_owners()
         if self._owner_of(pending.shard) == pending.owner:
-            # The other instance knows more of the members than this one does so far.
-            self._reactor.callLater(_MOVED_RETRY_S, self._place_again, ask_id)
+            # The other instance knows of a change of members that this one has yet to learn.
+            self._reactor.callLater(_NOT_DISPATCHER_RETRY_S, self._resend, request_id)
 
-    def owner_changed(self, shard: Shard, owner: ids.InstanceId) -> None:
-        """Tell a new dispatcher what is held, and ask it for what waits."""
-        message = self.held(shard)
+    def switch_owner(self, shard: Shard, owner: ids.InstanceId) -> None:
+        """Report held slots to a shard's new owner, and send it the pending requests."""
+        message = self.held_slots(shard)
         if message.held:
             self._send(owner, message)
         for pending in list(self._pending.values()):
             if pending.shard == shard and pending.owner != owner:
-                self._place(pending)
+                self._send_request(pending)
 
-    def held(self, shard: Shard) -> slot_messages.HeldSlotsReport:
-        """Return the slots of a shard that requests of this instance hold."""
+    def held_slots(self, shard: Shard) -> slot_messages.HeldSlotsReport:
+        """Return a report of the slots of a shard that requests of this instance hold."""
         held = tuple(
-            slot_messages.HeldSlot(ask_id, slot.ask.route, slot.ask.object_key, slot.server)
-            for ask_id, slot in self._held.items()
+            slot_messages.HeldSlot(
+                request_id, slot.request.route, slot.request.object_key, slot.server
+            )
+            for request_id, slot in self._held.items()
             if slot.shard == shard
         )
         return slot_messages.HeldSlotsReport(*shard, held)
 
-    def _place(self, pending: _Pending) -> None:
-        """Send an ask to the instance that gives out the slots."""
+    def _send_request(self, pending: _PendingRequest) -> None:
+        """Send a request to the dispatcher of its shard."""
         owner = pending.owner = self._owner_of(pending.shard)
         now = self._reactor.seconds()
         if owner is None:
-            self._answer(allocation.SlotRefusal(pending.ask.id, codes.Code.NO_BACKEND, 1.0))
-        elif self._send(owner, _asked(pending, now)):
+            self._resolve(
+                allocation.SlotRefusal(pending.request.id, codes.Code.NO_BACKEND, 1.0)
+            )
+        elif self._send(owner, _build_message(pending, now)):
             pending.unsent_since = None
         else:
-            self._wait_for_stream(pending, now)
+            self._retry_or_refuse(pending, now)
+
+    def _retry_or_refuse(self, pending: _PendingRequest, now: float) -> None:
+        """Resend a request soon, or refuse it if there was no stream for too long.
 
-    def _wait_for_stream(self, pending: _Pending, now: float) -> None:
-        """Try again for a short time, as streams are opened anew after a restart."""
+        After a restart, streams are opened again a moment after instances are ready.
+        """
         if pending.unsent_since is None:
             pending.unsent_since = now
         if now - pending.unsent_since >= _STREAM_WAIT_S:
             code = codes.Code.DISPATCHER_SILENT
             detail = f"no stream to {pending.owner}"
-            self._answer(allocation.SlotRefusal(pending.ask.id, code, 0.5, detail))
+            self._resolve(allocation.SlotRefusal(pending.request.id, code, 0.5, detail))
         else:
-            self._reactor.callLater(_STREAM_RETRY_S, self._place_again, pending.ask.id)
+            self._reactor.callLater(_STREAM_RETRY_S, self._resend, pending.request.id)
 
-    def _place_again(self, ask_id: ids.RequestId) -> None:
-        pending = self._pending.get(ask_id)
+    def _resend(self, request_id: ids.RequestId) -> None:
+        pending = self._pending.get(request_id)
         if pending is not None:
-            self._place(pending)
+            self._send_request(pending)
 
-    def _withdraw(self, ask_id: ids.RequestId) -> None:
-        pending = self._pending.pop(ask_id, None)
+    def _withdraw(self, request_id: ids.RequestId) -> None:
+        pending = self._pending.pop(request_id, None)
         if pending is not None and pending.owner is not None:
             self._send(
-                pending.owner, slot_messages.SlotRequestWithdrawn(ask_id, *pending.shard)
+                pending.owner, slot_messages.SlotRequestWithdrawn(request_id, *pending.shard)
             )
 
-    def _answer(self, decision: dispatcher.Decision) -> None:
+    def _resolve(self, decision: dispatcher.Decision) -> None:
         pending = self._pending.pop(decision.ask_id, None)
         if pending is not None:
-            pending.answered.callback(decision)
+            pending.result.callback(decision)
 
 
-def _asked(pending: _Pending, now: float) -> slot_messages.SlotRequested:
-    ask = pending.ask
+def _build_message(pending: _PendingRequest, now: float) -> slot_messages.SlotRequested:
+    request = pending.request
     return slot_messages.SlotRequested(
-        ask.id,
+        request.id,
         pending.region,
-        ask.service,
-        ask.route,
-        ask.object_key,
-        ask.priority,
-        (ask.target_at - now) * 1000,
-        (ask.deadline_at - now) * 1000,
-        ask.repeat,
-        ask.avoided,
-        ask.homes,
-        ask.domain,
+        request.service,
+        request.route,
+        request.object_key,
+        request.priority,
+        (request.target_at - now) * 1000,
+        (request.deadline_at - now) * 1000,
+        request.repeat,
+        request.avoided,
+        request.homes,
+        request.domain,
     )
--- a/src/carobhook/transport/slot_desk.py
+++ b/src/carobhook/transport/slot_desk.py
@@ -1,4 +1,4 @@
-"""Joins this instance's asks with the dispatchers that it runs, and with other instances."""
+"""Routes messages about slots between requests, local dispatchers and other instances."""
 
 import typing
 from collections.abc import Callable, Mapping
@@ -11,32 +11,33 @@
 from carobhook.state import allocation, codes, ids
 from carobhook.transport import slot_asks, slot_shards
 
-_REPORT_INTERVAL_S = 0.5
+_LOAN_INTERVAL_S = 0.5
 
 _CODES = {code.number: code for code in codes.Code}
 
 
-class Peers(typing.Protocol):
-    """How the desk reaches other instances."""
+class PeerSender(typing.Protocol):
+    """Sends messages to other instances."""
 
     def send(self, name: ids.InstanceId, message: typing.Any) -> bool:
         """Send a message to an instance; return False if there is no stream to it."""
 
 
 class SlotDesk:
-    """Knows which instance gives out the slots of each shard, and routes messages about them.
+    """Allocates slots to this instance's requests, and dispatches for the shards it owns.
+
+    It tracks which instance owns each shard, so that requests go to the right dispatcher.
 
     Args:
         reactor: Source of time and timers.
         own: Name of this instance.
         regions: Regions by failure domain.
-        roster: Instances that were heard.
-        known: Servers and configuration.
+        members: Table of the live instances.
+        server_catalog: Servers and configuration.
         orders: Operators' orders in force.
-        peers: Streams to other instances.
-        bounds: What bounds sends.
-        visible: Returns the part of a region's instances that was heard lately, of those that
-            were heard in the last minutes.
+        peers: Sends messages to other instances.
+        limits: Limits on what all instances together send.
+        visible: Returns the fraction of a region's recently known instances that are live.
     """
 
     def __init__(
@@ -44,31 +45,31 @@
         reactor: typing.Any,
         own: ids.InstanceId,
         regions: Mapping[ids.FailureDomain, ids.Region],
-        roster: membership.Membership,
-        known: catalog.Catalog,
+        members: membership.Membership,
+        server_catalog: catalog.Catalog,
         orders: steering.Steering,
-        peers: Peers,
-        bounds: slot_shards.SlotBounds,
+        peers: PeerSender,
+        limits: slot_shards.SlotBounds,
         visible: Callable[[ids.Region], float],
     ) -> None:
         self._reactor = reactor
         self._own = own
         self._regions = regions
-        self._roster = roster
-        self._known = known
+        self._members = members
+        self._catalog = server_catalog
         self._peers = peers
         self._owners: dict[slot_asks.Shard, ids.InstanceId | None] = {}
-        self._reported_at = 0.0
-        self._asks = slot_asks.SlotAsks(
+        self._loans_updated_at = 0.0
+        self._client = slot_asks.SlotClient(
             reactor, self._owner_of, self._send, self.members_changed
         )
-        self._shards = slot_shards.SlotShards(
+        self._shards = slot_shards.ShardDispatchers(
             reactor,
             own,
             regions,
-            known,
+            server_catalog,
             orders,
-            bounds,
+            limits,
             self._owner_of,
             self._send,
             self._live,
@@ -76,75 +77,82 @@
         )
 
     @property
-    def waiting(self) -> int:
-        """Return how many asks of this instance wait."""
-        return self._asks.waiting
+    def pending_count(self) -> int:
+        """Return the number of this instance's pending slot requests."""
+        return self._client.pending_count
+
+    def ask(self, request: allocation.SlotRequest, region: ids.Region) -> defer.Deferred:
+        """Request a slot; the result fires with `SlotGrant` or `SlotRefusal`.
 
-    def ask(self, ask: allocation.SlotRequest, region: ids.Region) -> defer.Deferred:
-        """Ask for a slot; fires with `SlotGrant` or `SlotRefusal`; cancelling withdraws.
+        Cancelling the result withdraws the request.
 
         Args:
-            ask: The ask.
-            region: Region whose dispatcher is asked.
+            request: The slot request.
+            region: Region whose dispatcher decides it.
         """
-        return self._asks.ask(ask, region)
+        return self._client.request_slot(request, region)
+
+    def ended(self, request_id: ids.RequestId, outcome: allocation.AttemptOutcome) -> None:
+        """Return a granted slot to its dispatcher, with the outcome of the attempt.
 
-    def ended(self, ask_id: ids.RequestId, end: allocation.AttemptOutcome) -> None:
-        """Give a granted slot back."""
-        self._asks.ended(ask_id, end)
+        Args:
+            request_id: Id of the slot request.
+            outcome: How the attempt ended.
+        """
+        self._client.release_slot(request_id, outcome)
 
     def loads(self) -> list[slot_messages.ShardLoad]:
-        """Return how busy the shards are that this instance gives out."""
+        """Return the loads of the shards that this instance owns."""
         return self._shards.loads()
 
     def members_changed(self) -> None:
-        """Look again which instances give out slots, and ask the new ones."""
-        serving = self._roster.serving(self._reactor.seconds())
+        """Determine the owner of each known shard again, and apply the changes."""
+        serving = self._members.serving(self._reactor.seconds())
         for shard, before in list(self._owners.items()):
             owner = membership.shard_owner(*shard, serving)
             if owner != before:
                 self._owners[shard] = owner
-                self._owner_changed(shard, before, owner)
+                self._apply_owner_change(shard, before, owner)
 
     def servers_changed(self) -> None:
-        """Take in a new view of the servers."""
-        self._shards.servers_changed()
+        """Update all dispatchers after a change of servers, configuration or orders."""
+        self._shards.update_servers()
 
     def lost(self, name: ids.InstanceId) -> None:
-        """Free the slots of an instance that is gone."""
-        self._shards.lost(name)
+        """Free the slots of an instance that died or restarted."""
+        self._shards.remove_instance(name)
 
     def tick(self) -> None:
-        """Look at what waits, and move the loans between regions."""
+        """Decide on queued requests, and update owners and loans at intervals."""
         now = self._reactor.seconds()
-        elapsed_s = now - self._reported_at
-        if elapsed_s >= _REPORT_INTERVAL_S:
-            self._reported_at = now
+        elapsed_s = now - self._loans_updated_at
+        if elapsed_s >= _LOAN_INTERVAL_S:
+            self._loans_updated_at = now
             self.members_changed()
             self._open_shards()
-            self._shards.report(elapsed_s, now)
+            self._shards.update_loans(elapsed_s, now)
         self._shards.tick(now)
 
     def received(self, sender: ids.InstanceId, message: typing.Any) -> None:
-        """Handle a message about slots."""
+        """Pass a message about slots to the client or the dispatchers."""
         if isinstance(message, slot_messages.SlotRequested):
-            self._shards.asked(sender, message)
+            self._shards.handle_request(sender, message)
         elif isinstance(message, slot_messages.SlotRequestWithdrawn):
-            self._shards.withdrawn(message)
+            self._shards.handle_withdrawal(message)
         elif isinstance(message, slot_messages.SlotReleased):
-            self._shards.ended(message)
+            self._shards.handle_release(message)
         elif isinstance(message, slot_messages.SlotGranted):
-            self._asks.granted(sender, message.grant)
+            self._client.handle_grant(sender, message.grant)
         elif isinstance(message, slot_messages.SlotRefused):
-            self._asks.refused(_refusal(sender, message))
+            self._client.handle_refusal(_refusal(sender, message))
         elif isinstance(message, slot_messages.NotDispatcher):
-            self._asks.moved(message.ask_id)
+            self._client.handle_not_dispatcher(message.ask_id)
         elif isinstance(message, slot_messages.HeldSlotsQuery):
-            self._send(sender, self._asks.held((message.region, message.service)))
+            self._send(sender, self._client.held_slots((message.region, message.service)))
         elif isinstance(message, slot_messages.HeldSlotsReport):
-            self._shards.told_held(sender, message)
+            self._shards.handle_held_slots(sender, message)
         elif isinstance(message, slot_messages.RegionReport):
-            self._shards.told_region(message)
+            self._shards.handle_region_report(message)
 
     def _send(self, to: ids.InstanceId, message: typing.Any) -> bool:
         """Send a message to an instance, which may be this one."""
@@ -154,15 +162,15 @@
         return self._peers.send(to, message)
 
     def _live(self) -> list[ids.InstanceId]:
-        return [member.name for member in self._roster.live(self._reactor.seconds())]
+        return [member.name for member in self._members.live(self._reactor.seconds())]
 
     def _owner_of(self, shard: slot_asks.Shard) -> ids.InstanceId | None:
         if shard not in self._owners:
-            serving = self._roster.serving(self._reactor.seconds())
+            serving = self._members.serving(self._reactor.seconds())
             self._owners[shard] = membership.shard_owner(*shard, serving)
         return self._owners[shard]
 
-    def _owner_changed(
+    def _apply_owner_change(
         self,
         shard: slot_asks.Shard,
         before: ids.InstanceId | None,
@@ -176,11 +184,11 @@
         if owner == self._own:
             self._shards.open(shard)
         if owner is not None:
-            self._asks.owner_changed(shard, owner)
+            self._client.switch_owner(shard, owner)
 
     def _open_shards(self) -> None:
-        """Run a dispatcher for each shard that falls to this instance."""
-        config = self._known.config
+        """Start a dispatcher for each shard that this instance owns."""
+        config = self._catalog.config
         if config is None:
             return
         for region in set(self._regions.values()):
--- a/src/carobhook/transport/slot_shards.py
+++ b/src/carobhook/transport/slot_shards.py
@@ -1,4 +1,4 @@
-"""Gives out the slots of the shards that fall to this instance."""
+"""Runs the dispatchers of the shards that this instance owns."""
 
 import typing
 from collections.abc import Callable, Collection, Iterable, Mapping
@@ -20,45 +20,65 @@
 
 Shard = slot_asks.Shard
 
-# Share of an agreed bound that is used, as what is on its way is not counted yet.
+# Fraction of an agreed limit that instances apply. Requests on their way are not counted yet;
+# without this margin, the sum over all instances could exceed the limit.
 BOUND_MARGIN = 0.8
+# Reports of other regions are ignored when they are older than this.
 _REPORT_LIFETIME_S = 1.6
+# Weight of the latest sample in the moving average of demand.
 _DEMAND_WEIGHT = 0.2
-# A new dispatcher waits this long for the instances' word on the slots that they hold.
+# A new dispatcher waits at most this long for the reports of the slots that instances already
+# hold. Without the reports, it would grant slots that are in use.
 _TAKEOVER_S = 0.25
 
 
 @attrs.frozen
 class SlotBounds:
-    """What bounds the sends of all instances together.
+    """Limits on what all instances together send, and on how fast loans change.
 
     Attributes:
-        budget_ratio: Repeats for each request of a service.
-        budget_slack: Repeats besides, in a window.
+        budget_ratio: Retries allowed for each request of a service.
+        budget_slack: Retries allowed in a window in addition, in all regions together.
         budget_window_s: Length of the window in seconds.
-        cold_over: How many times the told rate a cold server may get.
-        cold_slack: Requests a second that it may get besides.
-        loan_step: Share of a region's demand that may be moved to another at a time.
+        cold_factor: A cold server may get this multiple of its configured rate.
+        cold_slack: Requests a second that a cold server may get in addition.
+        loan_step: Largest change of the loan to one region per update, as a share of the
+            borrower's demand.
     """
 
     budget_ratio: float
     budget_slack: float
     budget_window_s: float
-    cold_over: float
+    cold_factor: float
     cold_slack: float
     loan_step: float
 
 
 @attrs.define(eq=False)
-class _Held:
-    """A dispatcher that this instance runs, with what it knows of other regions."""
+class _ShardState:
+    """Dispatcher of a shard, with its requests, its grants and the loans between regions.
+
+    Attributes:
+        dispatcher: Decides on the slot requests of the shard.
+        loans: Decides how many slots are lent to each other region.
+        requesters: Instance that sent each undecided slot request.
+        granted: Instance and server of each granted slot.
+        unreported: Instances that have not reported yet which slots they hold.
+        paused_until: Monotonic time in seconds at which the dispatcher stops waiting for these
+            reports.
+        demand: Moving average of the slots that requests need, None before the first request.
+        reports: Latest report of each other region's dispatcher, and when it arrived.
+        lent: Slots of each server that are lent to each other region.
+        withheld: Slots of each server that orders withhold.
+        recalled: Recalled slots that their borrowers may still be using.
+    """
 
     dispatcher: dispatcher.Dispatcher
     loans: slot_loans.LoanController
-    askers: dict[ids.RequestId, ids.InstanceId] = attrs.field(factory=dict)
+    requesters: dict[ids.RequestId, ids.InstanceId] = attrs.field(factory=dict)
     granted: dict[ids.RequestId, tuple[ids.InstanceId, ids.Server]] = attrs.field(factory=dict)
-    untold: set[ids.InstanceId] = attrs.field(factory=set)
-    untold_until: float = 0.0
+    unreported: set[ids.InstanceId] = attrs.field(factory=set)
+    paused_until: float = 0.0
     demand: float | None = None
     reports: dict[ids.Region, tuple[slot_messages.RegionReport, float]] = attrs.field(
         factory=dict
@@ -67,29 +87,29 @@
     withheld: Mapping[ids.Server, int] = attrs.field(factory=dict)
     recalled: slot_loans.RecalledSlots = attrs.field(factory=slot_loans.RecalledSlots)
 
-    def fresh_reports(self, now: float) -> dict[ids.Region, slot_messages.RegionReport]:
-        """Return what other regions told lately."""
+    def recent_reports(self, now: float) -> dict[ids.Region, slot_messages.RegionReport]:
+        """Return the reports of other regions that are not too old."""
         return {
             region: report
-            for region, (report, heard_at) in self.reports.items()
-            if now - heard_at <= _REPORT_LIFETIME_S
+            for region, (report, received_at) in self.reports.items()
+            if now - received_at <= _REPORT_LIFETIME_S
         }
 
 
-class SlotShards:
-    """Owns the dispatchers that this instance runs for all.
+class ShardDispatchers:
+    """Dispatchers of the shards that this instance owns, and the loans of their slots.
 
     Args:
         reactor: Source of time.
         own: Name of this instance.
         regions: Regions by failure domain.
-        known: Servers and configuration.
+        server_catalog: Servers and configuration.
         orders: Operators' orders in force.
-        bounds: What bounds sends.
-        owner_of: Returns the instance that gives out the slots of a shard, or None.
-        send: Sends a message to an instance, this one included.
-        live: Returns the instances that were heard lately.
-        visible: Returns the part of a region's instances that was heard lately.
+        limits: Limits on what all instances together send.
+        owner_of: Returns the instance that dispatches for a shard, or None.
+        send: Sends a message to an instance, which may be this one.
+        live: Returns the live instances.
+        visible: Returns the fraction of a region's recently known instances that are live.
     """
 
     def __init__(
@@ -97,9 +117,9 @@
         reactor: typing.Any,
         own: ids.InstanceId,
         regions: Mapping[ids.FailureDomain, ids.Region],
-        known: catalog.Catalog,
+        server_catalog: catalog.Catalog,
         orders: steering.Steering,
-        bounds: SlotBounds,
+        limits: SlotBounds,
         owner_of: Callable[[Shard], ids.InstanceId | None],
         send: Callable[[ids.InstanceId, typing.Any], bool],
         live: Callable[[], Collection[ids.InstanceId]],
@@ -108,25 +128,27 @@
         self._reactor = reactor
         self._own = own
         self._regions = regions
-        self._known = known
+        self._catalog = server_catalog
         self._orders = orders
-        self._bounds = bounds
+        self._limits = limits
         self._owner_of = owner_of
         self._send = send
         self._live = live
         self._visible = visible
-        self._shards: dict[Shard, _Held] = {}
+        self._shards: dict[Shard, _ShardState] = {}
 
-    # Asks.
+    # Slot requests.
 
-    def asked(self, sender: ids.InstanceId, message: slot_messages.SlotRequested) -> None:
-        """Decide an ask, or say that another instance must."""
+    def handle_request(
+        self, sender: ids.InstanceId, message: slot_messages.SlotRequested
+    ) -> None:
+        """Submit a slot request, or answer that this instance is not the dispatcher."""
         now = self._reactor.seconds()
         shard = (message.region, message.service)
         if self._owner_of(shard) != self._own:
             self._send(sender, slot_messages.NotDispatcher(message.id))
             return
-        ask = allocation.SlotRequest(
+        request = allocation.SlotRequest(
             id=message.id,
             service=message.service,
             route=message.route,
@@ -139,268 +161,287 @@
             homes=message.homes,
             domain=message.domain,
         )
-        held = self.open(shard)
-        held.askers[ask.id] = sender
-        self._carry_out(held, held.dispatcher.submit(ask, now))
-
-    def withdrawn(self, message: slot_messages.SlotRequestWithdrawn) -> None:
-        """Forget an ask, or take its slot back."""
-        held = self._shards.get((message.region, message.service))
-        if held is None:
+        state = self.open(shard)
+        state.requesters[request.id] = sender
+        self._send_decisions(state, state.dispatcher.submit(request, now))
+
+    def handle_withdrawal(self, message: slot_messages.SlotRequestWithdrawn) -> None:
+        """Remove a slot request from the queue, or free its slot if it was granted one."""
+        state = self._shards.get((message.region, message.service))
+        if state is None:
             return
-        held.askers.pop(message.id, None)
-        if held.dispatcher.withdraw(message.id):
+        state.requesters.pop(message.id, None)
+        if state.dispatcher.withdraw(message.id):
             return
-        granted = held.granted.pop(message.id, None)
+        granted = state.granted.pop(message.id, None)
         if granted is not None:
-            # The grant crossed the withdrawal, so nothing was sent.
+            # The grant was on its way when the request was withdrawn: no server was sent it.
             now = self._reactor.seconds()
-            held.dispatcher.release_slot(
+            state.dispatcher.release_slot(
                 message.id, granted[1], allocation.AttemptOutcome.CANCELLED, now
             )
 
-    def ended(self, message: slot_messages.SlotReleased) -> None:
-        """Take a slot back."""
-        held = self._shards.get((message.region, message.service))
-        if held is None:
+    def handle_release(self, message: slot_messages.SlotReleased) -> None:
+        """Free a slot, and send the decisions that this makes possible."""
+        state = self._shards.get((message.region, message.service))
+        if state is None:
             return
-        held.granted.pop(message.id, None)
+        state.granted.pop(message.id, None)
         now = self._reactor.seconds()
-        decided = held.dispatcher.release_slot(message.id, message.server, message.end, now)
-        self._carry_out(held, decided)
+        decisions = state.dispatcher.release_slot(message.id, message.server, message.end, now)
+        self._send_decisions(state, decisions)
 
-    def told_held(self, sender: ids.InstanceId, message: slot_messages.HeldSlotsReport) -> None:
-        """Count slots that requests of an instance hold since before the takeover."""
+    def handle_held_slots(
+        self, sender: ids.InstanceId, message: slot_messages.HeldSlotsReport
+    ) -> None:
+        """Count the slots that an instance's requests got from the previous dispatcher."""
         now = self._reactor.seconds()
         shard = (message.region, message.service)
         if self._owner_of(shard) != self._own:
             return
-        held = self.open(shard)
+        state = self.open(shard)
         for slot in message.held:
-            ask = allocation.SlotRequest(
+            request = allocation.SlotRequest(
                 slot.id, message.service, slot.route, slot.object_key, 0, now, now
             )
-            held.dispatcher.register_running(ask, slot.server, now)
-            held.granted[slot.id] = (sender, slot.server)
-        held.untold.discard(sender)
-        self._decide(held, now)
+            state.dispatcher.register_running(request, slot.server, now)
+            state.granted[slot.id] = (sender, slot.server)
+        state.unreported.discard(sender)
+        self._decide(state, now)
 
-    def lost(self, name: ids.InstanceId) -> None:
-        """Free the slots of an instance that is gone, as its requests end with it."""
+    def remove_instance(self, name: ids.InstanceId) -> None:
+        """Free the slots of an instance that died or restarted: its requests ended with it."""
         now = self._reactor.seconds()
-        for held in self._shards.values():
-            held.untold.discard(name)
-            for ask_id in [a for a, asker in held.askers.items() if asker == name]:
-                del held.askers[ask_id]
-                held.dispatcher.withdraw(ask_id)
-            gone = [ask_id for ask_id, entry in held.granted.items() if entry[0] == name]
-            for ask_id in gone:
-                server = held.granted.pop(ask_id)[1]
-                decided = held.dispatcher.release_slot(
-                    ask_id, server, allocation.AttemptOutcome.CANCELLED, now
+        for state in self._shards.values():
+            state.unreported.discard(name)
+            for request_id in [r for r, sender in state.requesters.items() if sender == name]:
+                del state.requesters[request_id]
+                state.dispatcher.withdraw(request_id)
+            granted_ids = [
+                request_id for request_id, entry in state.granted.items() if entry[0] == name
+            ]
+            for request_id in granted_ids:
+                server = state.granted.pop(request_id)[1]
+                decisions = state.dispatcher.release_slot(
+                    request_id, server, allocation.AttemptOutcome.CANCELLED, now
                 )
-                self._carry_out(held, decided)
-            self._decide(held, now)
+                self._send_decisions(state, decisions)
+            self._decide(state, now)
 
-    def _decide(self, held: _Held, now: float) -> None:
-        held.dispatcher.paused = bool(held.untold) and now < held.untold_until
-        self._carry_out(held, held.dispatcher.decide(now))
+    def _decide(self, state: _ShardState, now: float) -> None:
+        state.dispatcher.paused = bool(state.unreported) and now < state.paused_until
+        self._send_decisions(state, state.dispatcher.decide(now))
 
-    def _carry_out(self, held: _Held, decisions: Iterable[dispatcher.Decision]) -> None:
+    def _send_decisions(
+        self, state: _ShardState, decisions: Iterable[dispatcher.Decision]
+    ) -> None:
         for decision in decisions:
-            asker = held.askers.pop(decision.ask_id, self._own)
+            requester = state.requesters.pop(decision.ask_id, self._own)
             if isinstance(decision, allocation.SlotGrant):
-                held.granted[decision.ask_id] = (asker, decision.server)
-                told: typing.Any = slot_messages.SlotGranted(decision)
+                state.granted[decision.ask_id] = (requester, decision.server)
+                message: typing.Any = slot_messages.SlotGranted(decision)
             else:
-                told = slot_messages.SlotRefused(
+                message = slot_messages.SlotRefused(
                     decision.ask_id,
                     decision.code.number,
                     decision.retry_after_s,
                     decision.detail,
                 )
-            self._send(asker, told)
+            self._send(requester, message)
 
     # Shards.
 
-    def open(self, shard: Shard) -> _Held:
-        """Return the dispatcher of a shard, begun if this instance did not run it yet."""
-        held = self._shards.get(shard)
-        if held is not None:
-            return held
+    def open(self, shard: Shard) -> _ShardState:
+        """Return the state of a shard; start its dispatcher if there is none yet."""
+        state = self._shards.get(shard)
+        if state is not None:
+            return state
         regions = max(1, len(set(self._regions.values())))
         budget = retry_budget.RetryBudget(
-            self._bounds.budget_ratio,
-            self._bounds.budget_slack / regions,
-            self._bounds.budget_window_s,
+            self._limits.budget_ratio,
+            self._limits.budget_slack / regions,
+            self._limits.budget_window_s,
             self._reactor.seconds(),
         )
-        held = _Held(
-            dispatcher.Dispatcher(budget), slot_loans.LoanController(self._bounds.loan_step)
+        state = _ShardState(
+            dispatcher.Dispatcher(budget), slot_loans.LoanController(self._limits.loan_step)
         )
-        self._shards[shard] = held
-        self._refresh(shard, held)
-        self._ask_held(shard, held)
-        return held
-
-    def _ask_held(self, shard: Shard, held: _Held) -> None:
-        """Ask every instance which slots of a new shard its requests hold."""
-        held.untold = set(self._live()) - {self._own}
-        held.untold_until = self._reactor.seconds() + _TAKEOVER_S
-        held.dispatcher.paused = bool(held.untold)
-        for name in sorted(held.untold):
+        self._shards[shard] = state
+        self._update_pool(shard, state)
+        self._query_held_slots(shard, state)
+        return state
+
+    def _query_held_slots(self, shard: Shard, state: _ShardState) -> None:
+        """Ask every live instance which slots of a new shard its requests hold."""
+        state.unreported = set(self._live()) - {self._own}
+        state.paused_until = self._reactor.seconds() + _TAKEOVER_S
+        state.dispatcher.paused = bool(state.unreported)
+        for name in sorted(state.unreported):
             self._send(name, slot_messages.HeldSlotsQuery(*shard))
         self._send(self._own, slot_messages.HeldSlotsQuery(*shard))
 
     def hand_over(self, shard: Shard) -> None:
-        """Stop giving out the slots of a shard; who waits asks the new owner."""
-        held = self._shards.pop(shard, None)
-        if held is None:
+        """Stop dispatching for a shard, and redirect queued requests to its new owner."""
+        state = self._shards.pop(shard, None)
+        if state is None:
             return
-        for ask in held.dispatcher.clear_queue():
-            asker = held.askers.pop(ask.id, None)
-            if asker is not None:
-                self._send(asker, slot_messages.NotDispatcher(ask.id))
+        for request in state.dispatcher.clear_queue():
+            requester = state.requesters.pop(request.id, None)
+            if requester is not None:
+                self._send(requester, slot_messages.NotDispatcher(request.id))
 
-    def servers_changed(self) -> None:
-        """Take in a new view of the servers."""
+    def update_servers(self) -> None:
+        """Update all dispatchers after a change of servers, configuration or orders."""
         now = self._reactor.seconds()
-        for shard, held in list(self._shards.items()):
-            self._refresh(shard, held)
-            self._decide(held, now)
+        for shard, state in list(self._shards.items()):
+            self._update_pool(shard, state)
+            self._decide(state, now)
 
     def tick(self, now: float) -> None:
-        """Look at what waits."""
-        for held in list(self._shards.values()):
-            self._decide(held, now)
+        """Decide on the queued requests of all shards."""
+        for state in list(self._shards.values()):
+            self._decide(state, now)
 
     def loads(self) -> list[slot_messages.ShardLoad]:
-        """Return how busy the shards of this instance are."""
-        found = []
-        for (region, service), held in self._shards.items():
+        """Return the loads of the shards that this instance owns."""
+        loads = []
+        for (region, service), state in self._shards.items():
             if self._owner_of((region, service)) != self._own:
                 continue
-            pool = held.dispatcher.pool
+            pool = state.dispatcher.pool
             own = sum(s.slots for s in pool.servers if s.region == region)
-            lent = {to: sum(counts.values()) for to, counts in held.lent.items()}
-            withheld = sum(held.withheld.values())
-            found.append(
+            lent = {to: sum(counts.values()) for to, counts in state.lent.items()}
+            withheld = sum(state.withheld.values())
+            loads.append(
                 slot_messages.ShardLoad(
                     region,
                     service,
                     own,
                     pool.slots,
                     pool.running,
-                    held.dispatcher.queue_length,
-                    held.demand,
+                    state.dispatcher.queue_length,
+                    state.demand,
                     tuple(sorted(lent.items())),
                     withheld,
                 )
             )
-        return found
+        return loads
 
     # Servers and loans.
 
-    def _refresh(self, shard: Shard, held: _Held) -> None:
-        """Give a dispatcher the servers that it may use."""
+    def _update_pool(self, shard: Shard, state: _ShardState) -> None:
+        """Replace the servers of a dispatcher: its region's own ones, and borrowed ones."""
         now = self._reactor.seconds()
         region, service = shard
         borrowed: dict[ids.Server, int] = {}
-        for told in held.fresh_reports(now).values():
-            borrowed.update(told.lent)
-        wanted = []
+        for report in state.recent_reports(now).values():
+            borrowed.update(report.lent)
+        offers = []
         own = []
         visible = self._visible(region)
         cold_rate = self._cold_rate(service, visible)
-        for view in self._known.servers_of(service, now):
+        for view in self._catalog.servers_of(service, now):
             entry = view.entry
             home = self._regions.get(entry.zone)
             if home is None:
                 continue
             if home == region:
                 own.append(view)
-                wanted.append(server_pool.ServerOffer(view, home, entry.slots, cold_rate))
+                offers.append(server_pool.ServerOffer(view, home, entry.slots, cold_rate))
             elif entry.name in borrowed and now >= view.cold_until:
                 slots = borrowed[entry.name]
-                wanted.append(server_pool.ServerOffer(view, home, slots, cold_rate))
-        held.withheld = self._orders.withheld_slots(service, region, own)
-        held.dispatcher.pool.replace(wanted, now)
-        held.dispatcher.retry_budget.share = visible
-        self._set_lent(held, now)
+                offers.append(server_pool.ServerOffer(view, home, slots, cold_rate))
+        state.withheld = self._orders.withheld_slots(service, region, own)
+        state.dispatcher.pool.replace(offers, now)
+        state.dispatcher.retry_budget.share = visible
+        self._update_unavailable_slots(state, now)
 
     def _cold_rate(self, service: ids.Service, visible: float) -> float | None:
-        """Return the rate at which this instance may send to a cold server of a service."""
-        config = self._known.config
+        """Return how many requests a second may be sent to a cold server, None for no limit.
+
+        Args:
+            service: Service of the server.
+            visible: Fraction of the region's recently known instances that are live.
+        """
+        config = self._catalog.config
         policy = config.services.get(service) if config is not None else None
         if policy is None or policy.cold_requests_per_s <= 0:
             return None
-        most = policy.cold_requests_per_s * self._bounds.cold_over + self._bounds.cold_slack
-        return server_pool.cold_rate_limit(policy.cold_requests_per_s, most, visible)
-
-    def _set_lent(self, held: _Held, now: float) -> None:
-        """Set how many slots of each server this dispatcher must leave alone."""
-        counts: dict[ids.Server, int] = dict(held.withheld)
-        held.recalled.expire(now)
-        for borrowed in (*held.lent.values(), held.recalled.counts):
-            for server, count in borrowed.items():
+        max_per_s = (
+            policy.cold_requests_per_s * self._limits.cold_factor + self._limits.cold_slack
+        )
+        return server_pool.cold_rate_limit(policy.cold_requests_per_s, max_per_s, visible)
+
+    def _update_unavailable_slots(self, state: _ShardState, now: float) -> None:
+        """Update how many slots of each server the dispatcher must not grant.
+
+        These are the slots that orders withhold, that are lent, that were recalled a moment
+        ago, and that another region's requests hold in excess of its loan.
+        """
+        counts: dict[ids.Server, int] = dict(state.withheld)
+        state.recalled.expire(now)
+        for reserved in (*state.lent.values(), state.recalled.counts):
+            for server, count in reserved.items():
                 counts[server] = counts.get(server, 0) + count
-        for region, report in held.fresh_reports(now).items():
-            for server, busy in report.used:
-                extra = busy - held.lent.get(region, {}).get(server, 0)
-                if extra > 0:
-                    counts[server] = counts.get(server, 0) + extra
-        held.dispatcher.pool.set_unavailable_slots(counts)
+        for region, report in state.recent_reports(now).items():
+            for server, in_use in report.used:
+                excess = in_use - state.lent.get(region, {}).get(server, 0)
+                if excess > 0:
+                    counts[server] = counts.get(server, 0) + excess
+        state.dispatcher.pool.set_unavailable_slots(counts)
 
-    def report(self, elapsed_s: float, now: float) -> None:
-        """Move the loans of all shards, and tell the other regions' dispatchers.
+    def update_loans(self, elapsed_s: float, now: float) -> None:
+        """Update the loans of all shards, and report them to the other regions' dispatchers.
 
         Args:
-            elapsed_s: Seconds since the last report.
+            elapsed_s: Seconds since the last update.
             now: Monotonic time in seconds.
         """
-        for shard, held in list(self._shards.items()):
+        for shard, state in list(self._shards.items()):
             if self._owner_of(shard) == self._own:
-                self._move_loans(shard, held, elapsed_s, now)
-            self._refresh(shard, held)
+                self._update_loans(shard, state, elapsed_s, now)
+            self._update_pool(shard, state)
 
-    def _move_loans(self, shard: Shard, held: _Held, elapsed_s: float, now: float) -> None:
+    def _update_loans(
+        self, shard: Shard, state: _ShardState, elapsed_s: float, now: float
+    ) -> None:
         region = shard[0]
-        self._take_demand(held, elapsed_s)
+        self._update_demand(state, elapsed_s)
         own_slots = {
-            pooled.name: max(0, pooled.slots - held.withheld.get(pooled.name, 0))
-            for pooled in held.dispatcher.pool.servers
+            pooled.name: max(0, pooled.slots - state.withheld.get(pooled.name, 0))
+            for pooled in state.dispatcher.pool.servers
             if pooled.region == region
             and not pooled.is_suspect
             and now >= pooled.view.cold_until
         }
         loads = {
             other: slot_loans.RegionLoad(report.slots, report.demand)
-            for other, report in held.fresh_reports(now).items()
+            for other, report in state.recent_reports(now).items()
         }
-        loads[region] = slot_loans.RegionLoad(sum(own_slots.values()), held.demand)
-        held.loans.update(slot_loans.target_loans(region, loads), loads)
-        before = held.lent
-        held.recalled.expire(now)
-        order = {
-            server: max(0, own_slots[server] - held.recalled.count(server))
+        loads[region] = slot_loans.RegionLoad(sum(own_slots.values()), state.demand)
+        state.loans.update(slot_loans.target_loans(region, loads), loads)
+        previous = state.lent
+        state.recalled.expire(now)
+        lendable = {
+            server: max(0, own_slots[server] - state.recalled.count(server))
             for server in sorted(own_slots)
         }
-        held.lent = slot_loans.place_loans(held.loans.lent, order, held.lent)
-        held.recalled.recall(before, held.lent, now)
-        if held.lent != before:
-            _log_loans(shard, held.lent, loads)
+        state.lent = slot_loans.place_loans(state.loans.lent, lendable, state.lent)
+        state.recalled.recall(previous, state.lent, now)
+        if state.lent != previous:
+            _log_loans(shard, state.lent, loads)
         for other in set(self._regions.values()) - {region}:
-            self._tell_region(shard, held, other, loads[region])
+            self._send_region_report(shard, state, other, loads[region])
 
-    def _take_demand(self, held: _Held, elapsed_s: float) -> None:
-        asked = held.dispatcher.collect_demand() / max(0.05, min(elapsed_s, 2.0))
-        if held.demand is not None:
-            held.demand += _DEMAND_WEIGHT * (asked - held.demand)
-        elif asked > 0:
-            held.demand = asked
+    def _update_demand(self, state: _ShardState, elapsed_s: float) -> None:
+        recent = state.dispatcher.collect_demand() / max(0.05, min(elapsed_s, 2.0))
+        if state.demand is not None:
+            state.demand += _DEMAND_WEIGHT * (recent - state.demand)
+        elif recent > 0:
+            state.demand = recent
 
-    def _tell_region(
-        self, shard: Shard, held: _Held, other: ids.Region, load: slot_loans.RegionLoad
+    def _send_region_report(
+        self, shard: Shard, state: _ShardState, other: ids.Region, load: slot_loans.RegionLoad
     ) -> None:
         region, service = shard
         owner = self._owner_of((other, service))
@@ -408,28 +449,28 @@
             return
         used = tuple(
             (pooled.name, len(pooled.running))
-            for pooled in held.dispatcher.pool.servers
+            for pooled in state.dispatcher.pool.servers
             if pooled.region == other and pooled.running
         )
-        lent = tuple(held.lent.get(other, {}).items())
+        lent = tuple(state.lent.get(other, {}).items())
         report = slot_messages.RegionReport(
             service, region, other, load.slots, load.demand, lent, used
         )
         self._send(owner, report)
 
-    def told_region(self, report: slot_messages.RegionReport) -> None:
-        """Take in the report of another region's dispatcher."""
+    def handle_region_report(self, report: slot_messages.RegionReport) -> None:
+        """Record the report of another region's dispatcher, and apply what changed."""
         shard = (report.receiver, report.service)
-        held = self._shards.get(shard)
-        if held is None:
+        state = self._shards.get(shard)
+        if state is None:
             return
         now = self._reactor.seconds()
-        before = held.reports.get(report.region)
-        held.reports[report.region] = (report, now)
-        if before is None or before[0].lent != report.lent:
-            self._refresh(shard, held)
-        elif before[0].used != report.used:
-            self._set_lent(held, now)
+        previous = state.reports.get(report.region)
+        state.reports[report.region] = (report, now)
+        if previous is None or previous[0].lent != report.lent:
+            self._update_pool(shard, state)
+        elif previous[0].used != report.used:
+            self._update_unavailable_slots(state, now)
 
 
 def _log_loans(
--- a/src/carobhook/transport/sockets.py
+++ b/src/carobhook/transport/sockets.py
@@ -1,4 +1,4 @@
-"""Listening and connecting, with TLS if there is a context."""
+"""Listens and connects over TCP, with TLS if a context is given."""
 
 import typing
 
@@ -8,7 +8,7 @@
 def listen(
     reactor: typing.Any, host: str, port: int, factory: typing.Any, context: typing.Any
 ) -> typing.Any:
-    """Listen on an address, with TLS if there is a context; return the listening port.
+    """Listen on an address, with TLS if a context is given; return the listening port.
 
     Raises:
         twisted.internet.error.CannotListenError: The address is in use.
@@ -26,7 +26,7 @@
     context: typing.Any,
     timeout_s: float,
 ) -> None:
-    """Connect a factory to an address, with TLS if there is a context."""
+    """Connect a client factory to an address, with TLS if a context is given."""
     if context is None:
         reactor.connectTCP(host, port, factory, timeout=timeout_s)
     else:
--- a/tests/test_global_limits.py
+++ b/tests/test_global_limits.py
@@ -7,7 +7,7 @@
 import attrs
 import pytest
 
-import test_slot_desk as desks
+import test_slot_desk as slot_tests
 from carobhook.state import allocation, ids, routing
 from carobhook.transport import slot_shards
 
@@ -18,7 +18,7 @@
 SIMULATIONS = int(os.environ.get("CAROBHOOK_HISTORIES", "30"))
 
 
-class PartitionSimulation(desks.Deployment):
+class PartitionSimulation(slot_tests.Deployment):
     """Simulates four instances of one region with two cold servers and random partitions.
 
     Args:
@@ -31,15 +31,15 @@
         self.rng = random.Random(seed)
         self.max_partitions = max_partitions
         self.sent_at = collections.defaultdict(list)
-        for desk in self.desks.values():
-            known = desk._known
+        for allocator in self.allocators.values():
+            known = allocator._catalog
             known.replace_config_if_newer(
                 routing.RoutingConfig(
                     2,
                     (),
                     {
-                        desks.SERVICE: routing.ServicePolicy(
-                            desks.SERVICE, "/health", 100, 3.0, COLD_PER_S
+                        slot_tests.SERVICE: routing.ServicePolicy(
+                            slot_tests.SERVICE, "/health", 100, 3.0, COLD_PER_S
                         )
                     },
                 )
@@ -47,7 +47,7 @@
             for name in ("i-1", "i-2"):
                 entry = known.servers(0.0)[0].entry
                 known.put(attrs.evolve(entry, name=ids.Server(name), cold_s=1000.0), 0.0)
-            desk.servers_changed()
+            allocator.servers_changed()
         self.request_count = 0
         self.retry_share = 0.0
         self.retry_ids, self.request_times, self.retry_times = set(), [], []
@@ -57,7 +57,7 @@
 
         The instances notice the change one after the other.
         """
-        names = list(self.desks)
+        names = list(self.allocators)
         partitions = self.rng.randint(1, self.max_partitions)
         partition_of = {name: self.rng.randrange(partitions) for name in names}
         self.cut = {(x, y) for x in names for y in names if partition_of[x] != partition_of[y]}
@@ -66,24 +66,24 @@
             self.clock.advance(self.rng.uniform(0.0, 0.3))
             for other in names:
                 if (name, other) in self.cut:
-                    self.rosters[name].remove(other)
-                    self.desks[name].lost(other)
+                    self.memberships[name].remove(other)
+                    self.allocators[name].lost(other)
                 else:
-                    self.rosters[name].record_heartbeat(
-                        desks.member(other), self.clock.seconds()
+                    self.memberships[name].record_heartbeat(
+                        slot_tests.member(other), self.clock.seconds()
                     )
-            self.desks[name].members_changed()
+            self.allocators[name].members_changed()
             self.send_requests(3)
 
     def send_requests(self, count):
         """Send slot requests from random instances."""
         for _ in range(count):
             self.request_count += 1
-            name = self.rng.choice(list(self.desks))
+            name = self.rng.choice(list(self.allocators))
             now = self.clock.seconds()
             request = allocation.SlotRequest(
                 ids.RequestId(f"{name}-{self.request_count}"),
-                desks.SERVICE,
+                slot_tests.SERVICE,
                 "route",
                 None,
                 1,
@@ -95,7 +95,7 @@
                 self.retry_ids.add(request.id)
             else:
                 self.request_times.append(now)
-            deferred = self.desks[name].ask(request, desks.NORTH)
+            deferred = self.allocators[name].ask(request, slot_tests.NORTH)
             deferred.addCallbacks(self.record_grant, lambda _: None)
 
     def record_grant(self, decision):
@@ -107,18 +107,21 @@
         self.sent_at[decision.server].append(self.clock.seconds())
         name = decision.ask_id.split("-")[0]
         self.clock.callLater(
-            0.2, self.desks[name].ended, decision.ask_id, allocation.AttemptOutcome.ANSWERED
+            0.2,
+            self.allocators[name].ended,
+            decision.ask_id,
+            allocation.AttemptOutcome.ANSWERED,
         )
 
     def exchange_heartbeats(self):
         """Deliver heartbeats within each partition, and run the periodic work."""
         now = self.clock.seconds()
-        for name, roster in self.rosters.items():
-            for other in self.rosters:
+        for name, table in self.memberships.items():
+            for other in self.memberships:
                 if (other, name) not in self.cut:
-                    roster.record_heartbeat(desks.member(other), now)
-        for desk in self.desks.values():
-            desk.tick()
+                    table.record_heartbeat(slot_tests.member(other), now)
+        for allocator in self.allocators.values():
+            allocator.tick()
 
     def run(self):
         """Run the simulation; return the most requests that a server got within one second."""
@@ -142,7 +145,7 @@
         """When 80 % of all requests are retries, the budget holds in every window."""
         for seed in range(SIMULATIONS // 10):
             simulation = PartitionSimulation(seed, 4)
-            for known in (desk._known for desk in simulation.desks.values()):
+            for known in (allocator._catalog for allocator in simulation.allocators.values()):
                 for view in known.servers(0.0):
                     known.put(attrs.evolve(view.entry, cold_s=0.0, started_at_ms=2), 0.0)
             simulation.retry_share = 0.8
@@ -152,10 +155,10 @@
                 simulation.send_requests(12)
                 if simulation.rng.random() < 0.04:
                     simulation.repartition()
-            window_s = desks.BOUNDS.budget_window_s
+            window_s = slot_tests.LIMITS.budget_window_s
             # Instances apply only this share of the agreed limits; dividing restores those.
-            slack = desks.BOUNDS.budget_slack / slot_shards.BOUND_MARGIN
-            ratio = desks.BOUNDS.budget_ratio / slot_shards.BOUND_MARGIN
+            slack = slot_tests.LIMITS.budget_slack / slot_shards.BOUND_MARGIN
+            ratio = slot_tests.LIMITS.budget_ratio / slot_shards.BOUND_MARGIN
             for start in simulation.retry_times:
                 retries = sum(start <= at < start + window_s for at in simulation.retry_times)
                 requests = sum(
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Streams between instances: who may speak, and what garbage costs."""
+"""Streams between instances: authentication of the sender, and invalid data."""
 
 import pytest
 from twisted.internet import task
@@ -15,7 +15,7 @@
 
 
 class Acceptor:
-    """The accepting side of one connection, with what it handed on and logged."""
+    """The accepting side of one connection; records handled messages and log lines."""
 
     def __init__(self, monkeypatch):
         self.lines = []
@@ -23,7 +23,7 @@
         self.handled = []
         self.lost = []
         self.clock = task.Clock()
-        self.stream = peers._Incoming(
+        self.stream = peers._IncomingStream(
             self.clock,
             peer_codec.CODEC,
             KEY,
@@ -49,7 +49,7 @@
         return peer_codec.CODEC.decode(next(unpacker)).nonce
 
     def hello(self, nonce, key=KEY):
-        """Return the frame of a hello."""
+        """Return the frame of a hello that is signed with a key."""
         proof = peers.hello_proof(key, nonce, NAME, RUN)
         return peer_codec.CODEC.encode(membership_messages.Hello(NAME, RUN, proof))
 
@@ -61,15 +61,15 @@
 
 
 class TestIncoming:
-    """One accepted connection."""
+    """The accepting side of a connection."""
 
-    def test_hello_and_messages_in_one_piece(self, acceptor):
-        """Frames that come together with the hello are handled after it."""
-        wanted = slot_messages.NotDispatcher(ids.RequestId("3"))
-        data = acceptor.hello(acceptor.nonce) + peer_codec.CODEC.encode(wanted) * 2
+    def test_messages_right_after_the_hello(self, acceptor):
+        """Frames that arrive in one read with the hello are handled after it."""
+        message = slot_messages.NotDispatcher(ids.RequestId("3"))
+        data = acceptor.hello(acceptor.nonce) + peer_codec.CODEC.encode(message) * 2
         acceptor.stream.dataReceived(data[:-5])
         acceptor.stream.dataReceived(data[-5:])
-        assert acceptor.handled == [(NAME, wanted)] * 2
+        assert acceptor.handled == [(NAME, message)] * 2
         assert acceptor.lines == []
 
     @pytest.mark.parametrize(
@@ -82,33 +82,33 @@
             b"\xdb\x00\xff\xff\xff" + b"x" * 100_000,
         ],
     )
-    def test_stranger(self, acceptor, data):
-        """Garbage costs one line and one connection, and nothing is handed on."""
+    def test_invalid_first_data(self, acceptor, data):
+        """The connection is aborted with one log line, and no message is handled."""
         acceptor.stream.dataReceived(data)
         acceptor.clock.advance(10.0)
         assert acceptor.aborted == 1
         assert len(acceptor.lines) == 1
         assert acceptor.handled == []
 
-    def test_silent_stranger(self, acceptor):
-        """A connection without a hello is closed in time, with one line."""
+    def test_missing_hello(self, acceptor):
+        """A connection without a hello is aborted after a timeout, with one log line."""
         acceptor.clock.advance(10.0)
         assert (acceptor.aborted, len(acceptor.lines)) == (1, 1)
 
     def test_wrong_key(self, acceptor):
-        """A hello under another key is refused."""
+        """A hello that is signed with another key is rejected."""
         acceptor.stream.dataReceived(acceptor.hello(acceptor.nonce, b"other"))
         assert (acceptor.aborted, len(acceptor.lines)) == (1, 1)
 
     def test_replayed_hello(self, acceptor, monkeypatch):
-        """A hello recorded on one connection is worthless on another."""
+        """A hello recorded on one connection is rejected on another."""
         recorded = acceptor.hello(acceptor.nonce)
         other = Acceptor(monkeypatch)
         other.stream.dataReceived(recorded)
         assert (other.aborted, len(other.lines)) == (1, 1)
 
-    def test_garbage_after_the_hello(self, acceptor):
-        """Garbage on a proven stream costs that stream."""
+    def test_invalid_data_after_the_hello(self, acceptor):
+        """Invalid data on an authenticated stream aborts its connection."""
         acceptor.stream.dataReceived(acceptor.hello(acceptor.nonce))
         acceptor.stream.dataReceived(b"\xc1\xc1\xc1")
         assert (acceptor.aborted, len(acceptor.lines)) == (1, 1)
--- a/tests/test_slot_desk.py
+++ b/tests/test_slot_desk.py
@@ -1,4 +1,4 @@
-"""Tests of carobhook.transport.slot_desk: asks between instances, and their ends."""
+"""Tests of carobhook.transport.slot_desk: slots that instances request from each other."""
 
 from twisted.internet import task
 
@@ -10,7 +10,7 @@
 NORTH = ids.Region("north")
 SERVICE = ids.Service("svc")
 ZONE = ids.FailureDomain("north-a")
-BOUNDS = slot_shards.SlotBounds(0.2, 58, 10.0, 1.5, 5.0, 0.05)
+LIMITS = slot_shards.SlotBounds(0.2, 58, 10.0, 1.5, 5.0, 0.05)
 
 
 def member(name):
@@ -28,56 +28,64 @@
 
 
 class Deployment:
-    """Desks of some instances that know each other, with streams that can be cut."""
+    """Slot allocators of several instances that know each other.
+
+    Args:
+        names: Names of the instances.
+        slots: Number of slots of the only server.
+
+    Attributes:
+        cut: Pairs of a sender and a receiver without a stream.
+    """
 
     def __init__(self, *names, slots=2):
         self.clock = task.Clock()
         self.cut = set()
-        self.desks, self.rosters = {}, {}
+        self.allocators, self.memberships = {}, {}
         for name in names:
             self.add(ids.InstanceId(name), slots)
-        for roster in self.rosters.values():
+        for table in self.memberships.values():
             for name in names:
-                roster.record_heartbeat(member(name), 0.0)
+                table.record_heartbeat(member(name), 0.0)
 
     def add(self, name, slots):
-        """Add an instance that knows one server."""
-        known = catalog.Catalog()
+        """Add an instance whose catalog has one server."""
+        server_catalog = catalog.Catalog()
         policy = routing.ServicePolicy(SERVICE, "/health", 100, 3.0, 5.0)
-        known.replace_config_if_newer(routing.RoutingConfig(1, (), {SERVICE: policy}))
-        known.put(
+        server_catalog.replace_config_if_newer(routing.RoutingConfig(1, (), {SERVICE: policy}))
+        server_catalog.put(
             servers.ServerEntry(
                 ids.Server("i-1"), SERVICE, ZONE, "s:1", slots, servers.ServerState.READY, 0.0
             ),
             0.0,
         )
-        self.rosters[name] = membership.Membership(name)
-        self.desks[name] = slot_desk.SlotDesk(
+        self.memberships[name] = membership.Membership(name)
+        self.allocators[name] = slot_desk.SlotDesk(
             self.clock,
             name,
             {ZONE: NORTH},
-            self.rosters[name],
-            known,
+            self.memberships[name],
+            server_catalog,
             steering.Steering({ZONE: NORTH}),
             Streams(self, name),
-            BOUNDS,
+            LIMITS,
             lambda region: self.visible(name),
         )
 
     def visible(self, name):
-        """Return the part of all instances that one sees."""
-        return len(self.rosters[name].live(self.clock.seconds())) / len(self.rosters)
+        """Return the fraction of all instances that are live to one of them."""
+        return len(self.memberships[name].live(self.clock.seconds())) / len(self.memberships)
 
     @property
     def owner(self):
-        """Return the instance that gives out the slots."""
-        any_roster = next(iter(self.rosters.values()))
-        return membership.shard_owner(NORTH, SERVICE, any_roster.serving(0.0))
+        """Return the instance that dispatches for the service."""
+        any_membership = next(iter(self.memberships.values()))
+        return membership.shard_owner(NORTH, SERVICE, any_membership.serving(0.0))
 
-    def ask(self, name, number, target_s=1.0):
-        """Ask at an instance; return where its answer arrives."""
+    def request_slot(self, name, number, target_s=1.0):
+        """Request a slot as an instance; return a list that receives the decision."""
         now = self.clock.seconds()
-        wish = allocation.SlotRequest(
+        request = allocation.SlotRequest(
             ids.RequestId(f"{name}-{number}"),
             SERVICE,
             "route",
@@ -86,19 +94,19 @@
             now + target_s,
             now + 5.0,
         )
-        answers = []
-        self.desks[name].ask(wish, NORTH).addCallbacks(answers.append, lambda _: None)
-        return answers
+        decisions = []
+        self.allocators[name].ask(request, NORTH).addCallbacks(decisions.append, lambda _: None)
+        return decisions
 
-    def lose(self, gone):
-        """Let every other instance notice that one is gone."""
-        for name, roster in self.rosters.items():
-            if name != gone:
-                roster.remove(gone)
-        for name, desk in self.desks.items():
-            if name != gone:
-                desk.lost(gone)
-                desk.members_changed()
+    def kill(self, dead):
+        """Remove an instance from the memberships of all others."""
+        for name, table in self.memberships.items():
+            if name != dead:
+                table.remove(dead)
+        for name, allocator in self.allocators.items():
+            if name != dead:
+                allocator.lost(dead)
+                allocator.members_changed()
 
 
 class Streams:
@@ -112,129 +120,137 @@
         """Deliver a message at once, unless the stream is cut."""
         if (self.own, name) in self.deployment.cut:
             return False
-        self.deployment.desks[name].received(self.own, message)
+        self.deployment.allocators[name].received(self.own, message)
         return True
 
 
 class TestAsks:
-    """Asks of several instances at one dispatcher."""
+    """Requests of several instances to one dispatcher."""
 
-    def test_slots_are_counted_over_all_instances(self):
-        """Two slots are given out once, whoever asks, and again when they are free."""
-        one = Deployment("a", "b", "c")
-        first, second = one.ask("a", 1), one.ask("b", 1)
-        third = one.ask("c", 1, target_s=9.0)
+    def test_all_instances_share_the_slots(self):
+        """Each slot is granted to one request of any instance, and again after its release."""
+        deployment = Deployment("a", "b", "c")
+        first, second = deployment.request_slot("a", 1), deployment.request_slot("b", 1)
+        third = deployment.request_slot("c", 1, target_s=9.0)
         assert [len(first), len(second), len(third)] == [1, 1, 0]
-        one.desks["a"].ended(ids.RequestId("a-1"), allocation.AttemptOutcome.ANSWERED)
+        deployment.allocators["a"].ended(
+            ids.RequestId("a-1"), allocation.AttemptOutcome.ANSWERED
+        )
         assert isinstance(third[0], allocation.SlotGrant)
 
     def test_dispatcher_that_cannot_be_reached(self):
-        """The ask is refused, as not run, as soon as a stream should stand again."""
-        one = Deployment("a", "b", "c")
-        asker = next(name for name in one.desks if name != one.owner)
-        one.cut.add((asker, one.owner))
-        answers = one.ask(asker, 1)
-        one.clock.pump([0.05] * 4)
-        assert answers == []
-        one.clock.pump([0.05] * 2)
-        assert answers[0].code is codes.Code.DISPATCHER_SILENT
-        assert answers[0].code.run is codes.RunStatus.NOT_RUN
-
-    def test_stream_that_is_opened_anew_carries_what_waits(self):
-        """After a restart of all, streams stand a moment later than instances are ready."""
-        one = Deployment("a", "b", "c")
-        asker = next(name for name in one.desks if name != one.owner)
-        one.cut.add((asker, one.owner))
-        answers = one.ask(asker, 1)
-        one.clock.advance(0.1)
-        one.cut.clear()
-        one.clock.advance(0.05)
-        assert isinstance(answers[0], allocation.SlotGrant)
-        one.clock.pump([0.05] * 10)
-        assert len(answers) == 1
-
-    def test_withdrawn_ask_frees_its_place(self):
-        """A client that leaves while it waits takes nobody's slot."""
-        one = Deployment("a", "b", slots=1)
-        one.ask("a", 1)
-        now = one.clock.seconds()
-        wish = allocation.SlotRequest(
+        """The request is refused, as not run, when a stream should have been open again."""
+        deployment = Deployment("a", "b", "c")
+        requester = next(name for name in deployment.allocators if name != deployment.owner)
+        deployment.cut.add((requester, deployment.owner))
+        decisions = deployment.request_slot(requester, 1)
+        deployment.clock.pump([0.05] * 4)
+        assert decisions == []
+        deployment.clock.pump([0.05] * 2)
+        assert decisions[0].code is codes.Code.DISPATCHER_SILENT
+        assert decisions[0].code.run is codes.RunStatus.NOT_RUN
+
+    def test_pending_request_is_sent_when_its_stream_opens(self):
+        """After a restart of all instances, streams open a moment after instances are ready."""
+        deployment = Deployment("a", "b", "c")
+        requester = next(name for name in deployment.allocators if name != deployment.owner)
+        deployment.cut.add((requester, deployment.owner))
+        decisions = deployment.request_slot(requester, 1)
+        deployment.clock.advance(0.1)
+        deployment.cut.clear()
+        deployment.clock.advance(0.05)
+        assert isinstance(decisions[0], allocation.SlotGrant)
+        deployment.clock.pump([0.05] * 10)
+        assert len(decisions) == 1
+
+    def test_withdrawn_request_gets_no_slot(self):
+        """A client that disconnects while its request is queued uses no slot."""
+        deployment = Deployment("a", "b", slots=1)
+        deployment.request_slot("a", 1)
+        now = deployment.clock.seconds()
+        request = allocation.SlotRequest(
             ids.RequestId("b-9"), SERVICE, "route", None, 1, now + 9.0, now + 9.0
         )
-        one.desks["b"].ask(wish, NORTH).addErrback(lambda _: None).cancel()
-        one.desks["a"].ended(ids.RequestId("a-1"), allocation.AttemptOutcome.ANSWERED)
-        assert isinstance(one.ask("a", 2)[0], allocation.SlotGrant)
+        deployment.allocators["b"].ask(request, NORTH).addErrback(lambda _: None).cancel()
+        deployment.allocators["a"].ended(
+            ids.RequestId("a-1"), allocation.AttemptOutcome.ANSWERED
+        )
+        assert isinstance(deployment.request_slot("a", 2)[0], allocation.SlotGrant)
 
 
 class TestTakeover:
-    """A dispatcher that ends."""
-
-    def test_waiting_asks_go_to_the_next_one(self):
-        """Slots in use are told to it, and what waited is asked again."""
-        one = Deployment("a", "b", "c")
-        before = one.owner
-        others = [name for name in one.desks if name != before]
-        held = [one.ask(others[0], 1), one.ask(others[0], 2)]
-        waiting = one.ask(others[0], 3, target_s=9.0)
-        assert [len(answers) for answers in held] == [1, 1]
-        one.lose(before)
-        assert one.owner != before
+    """Another instance becomes the dispatcher."""
+
+    def test_pending_requests_go_to_the_new_dispatcher(self):
+        """It gets a report of the held slots, and pending requests are sent again."""
+        deployment = Deployment("a", "b", "c")
+        before = deployment.owner
+        others = [name for name in deployment.allocators if name != before]
+        held = [deployment.request_slot(others[0], 1), deployment.request_slot(others[0], 2)]
+        waiting = deployment.request_slot(others[0], 3, target_s=9.0)
+        assert [len(decisions) for decisions in held] == [1, 1]
+        deployment.kill(before)
+        assert deployment.owner != before
         assert waiting == []
-        one.desks[others[0]].ended(
+        deployment.allocators[others[0]].ended(
             ids.RequestId(f"{others[0]}-1"), allocation.AttemptOutcome.ANSWERED
         )
         assert isinstance(waiting[0], allocation.SlotGrant)
 
-    def test_slots_that_another_instance_holds_count_at_once(self):
-        """A new dispatcher gives out no slot that an instance holds which has not told yet."""
-        one = Deployment("a", "b", "c")
-        before = one.owner
-        others = [name for name in one.desks if name != before]
-        held = [one.ask(others[0], 1), one.ask(others[1], 1)]
-        waiting = one.ask(others[0], 2, target_s=9.0)
-        assert [len(answers) for answers in held] == [1, 1]
-        one.lose(before)
-        assert one.owner != before
+    def test_held_slots_of_another_instance_are_not_granted(self):
+        """A new dispatcher grants no slot that an instance holds but has not reported yet."""
+        deployment = Deployment("a", "b", "c")
+        before = deployment.owner
+        others = [name for name in deployment.allocators if name != before]
+        held = [deployment.request_slot(others[0], 1), deployment.request_slot(others[1], 1)]
+        waiting = deployment.request_slot(others[0], 2, target_s=9.0)
+        assert [len(decisions) for decisions in held] == [1, 1]
+        deployment.kill(before)
+        assert deployment.owner != before
         assert waiting == []
-        one.desks[others[1]].ended(
+        deployment.allocators[others[1]].ended(
             ids.RequestId(f"{others[1]}-1"), allocation.AttemptOutcome.ANSWERED
         )
         assert isinstance(waiting[0], allocation.SlotGrant)
 
-    def test_slots_that_are_not_told_hold_up_nothing_for_long(self):
-        """An instance that does not tell of its slots is waited for only a moment."""
-        one = Deployment("a", "b", "c")
-        before = one.owner
-        others = [name for name in one.desks if name != before]
-        one.lose(before)
-        after = one.owner
+    def test_missing_report_of_held_slots_delays_only_briefly(self):
+        """The dispatcher stops waiting for the report of an unreachable instance."""
+        deployment = Deployment("a", "b", "c")
+        before = deployment.owner
+        others = [name for name in deployment.allocators if name != before]
+        deployment.kill(before)
+        after = deployment.owner
         silent = next(name for name in others if name != after)
-        one.cut.add((silent, after))
-        one.desks[after]._shards.hand_over((NORTH, SERVICE))
-        answers = one.ask(after, 1)
-        assert answers == []
-        one.clock.advance(0.25)
-        one.desks[after].tick()
-        assert isinstance(answers[0], allocation.SlotGrant)
-
-    def test_slots_of_an_instance_that_ends_are_freed(self):
-        """Its requests end with it."""
-        one = Deployment("a", "b", "c", slots=1)
-        gone = next(name for name in one.desks if name != one.owner)
-        other = next(name for name in one.desks if name not in (gone, one.owner))
-        one.ask(gone, 1)
-        waiting = one.ask(other, 1, target_s=9.0)
+        deployment.cut.add((silent, after))
+        deployment.allocators[after]._shards.hand_over((NORTH, SERVICE))
+        decisions = deployment.request_slot(after, 1)
+        assert decisions == []
+        deployment.clock.advance(0.25)
+        deployment.allocators[after].tick()
+        assert isinstance(decisions[0], allocation.SlotGrant)
+
+    def test_slots_of_a_dead_instance_are_freed(self):
+        """Its requests ended with it, so their slots are granted to others."""
+        deployment = Deployment("a", "b", "c", slots=1)
+        dead = next(name for name in deployment.allocators if name != deployment.owner)
+        other = next(
+            name for name in deployment.allocators if name not in (dead, deployment.owner)
+        )
+        deployment.request_slot(dead, 1)
+        waiting = deployment.request_slot(other, 1, target_s=9.0)
         assert waiting == []
-        one.lose(gone)
+        deployment.kill(dead)
         assert isinstance(waiting[0], allocation.SlotGrant)
 
-    def test_instance_that_is_not_the_dispatcher_says_so(self):
-        """It gives out nothing, and the one that asked looks again."""
-        one = Deployment("a", "b", "c")
-        wrong = next(name for name in one.desks if name != one.owner)
+    def test_instance_that_is_not_the_dispatcher_answers_so(self):
+        """It grants nothing, and answers with `NotDispatcher`."""
+        deployment = Deployment("a", "b", "c")
+        wrong = next(name for name in deployment.allocators if name != deployment.owner)
         sent = []
-        one.desks[wrong]._peers.send = lambda name, message: sent.append(message) or True
-        now = one.clock.seconds()
+        deployment.allocators[wrong]._peers.send = lambda name, message: (
+            sent.append(message) or True
+        )
+        now = deployment.clock.seconds()
         message = slot_messages.SlotRequested(
             ids.RequestId("x"),
             NORTH,
@@ -249,5 +265,5 @@
             frozenset(),
             ZONE,
         )
-        one.desks[wrong].received(ids.InstanceId("elsewhere"), message)
+        deployment.allocators[wrong].received(ids.InstanceId("elsewhere"), message)
         assert sent == [slot_messages.NotDispatcher(ids.RequestId("x"))]
