--- a/src/carobhook/transport/entry_daemon.py
+++ b/src/carobhook/transport/entry_daemon.py
@@ -21,8 +21,8 @@
     member_streams,
     peers,
     server_connections,
-    slot_desk,
-    slot_shards,
+    shard_dispatchers,
+    slot_allocator,
     sockets,
     store_follow,
 )
@@ -91,14 +91,14 @@
         self._tls = _tls_contexts(settings)
         self._streams = self._member_streams()
         self._follow = self._store_follow(rng or random.Random())
-        self._desk = self._slot_desk()
+        self._allocator = self._slot_allocator()
         self._servers = server_connections.ServerConnections(reactor, _CONNECT_TIMEOUT_S)
         self._metrics = entry_metrics.EntryMetrics(self._gauges(omitted))
         self._requests = self._entry_requests()
         self._front = self._listener(self._requests.take)
         answers = entry_answers.EntryAnswers(
             reactor,
-            self._streams.roster,
+            self._streams.membership,
             self._metrics,
             lambda: self._phase is members.Phase.READY,
             lambda: self._settings.bounds.ttl_max_s,
@@ -117,7 +117,7 @@
             self._reactor,
             peers.Identity(place.name, self._incarnation, key),
             self._member,
-            member_streams.MemberEvents(
+            member_streams.MembershipCallbacks(
                 self._received, self._member_lost, self._members_changed
             ),
             self._tls.peers if self._tls is not None else None,
@@ -139,24 +139,24 @@
             ),
         )
 
-    def _slot_desk(self) -> slot_desk.SlotDesk:
-        return slot_desk.SlotDesk(
+    def _slot_allocator(self) -> slot_allocator.SlotAllocator:
+        return slot_allocator.SlotAllocator(
             self._reactor,
             self._settings.place.name,
             self._settings.regions,
-            self._streams.roster,
+            self._streams.membership,
             self._known,
             self._orders,
             self._streams,
-            self._slot_bounds(),
+            self._slot_limits(),
             self._streams.visible_share,
         )
 
-    def _slot_bounds(self) -> slot_shards.SlotBounds:
+    def _slot_limits(self) -> shard_dispatchers.SlotLimits:
         bounds = self._settings.bounds
-        return slot_shards.SlotBounds(
-            bounds.budget_ratio * slot_shards.BOUND_MARGIN,
-            bounds.budget_slack * slot_shards.BOUND_MARGIN,
+        return shard_dispatchers.SlotLimits(
+            bounds.budget_ratio * shard_dispatchers.APPLIED_LIMIT_SHARE,
+            bounds.budget_slack * shard_dispatchers.APPLIED_LIMIT_SHARE,
             bounds.budget_window_s,
             bounds.cold_over,
             bounds.cold_slack,
@@ -174,7 +174,7 @@
             entry_requests.RequestPorts(
                 self._known,
                 self._orders,
-                self._desk,
+                self._allocator,
                 self._servers,
                 self._metrics,
                 self._streams.broadcast,
@@ -205,7 +205,7 @@
             metric.STORE_CALLS: lambda: self._store.calls,
             metric.STORE_LOST: lambda: float(known.store_lost_at is not None),
             metric.SERVERS: lambda: len(known.servers(seconds())),
-            metric.MEMBERS: lambda: len(self._streams.roster.serving(seconds())),
+            metric.MEMBERS: lambda: len(self._streams.membership.serving(seconds())),
             metric.CONFIG_VERSION: lambda: known.config.version if known.config else 0,
             metric.ORDERS_VERSION: lambda: self._orders.in_force.version,
             metric.READY: lambda: float(self._phase is members.Phase.READY),
@@ -255,7 +255,7 @@
 
         security = self._settings.security
         view = operator_view.OperatorView(
-            self._known, self._orders, self._streams, self._desk, self._settings.regions
+            self._known, self._orders, self._streams, self._allocator, self._settings.regions
         )
         self._operators = operator_api.OperatorApi(
             self._reactor,
@@ -279,7 +279,7 @@
         """
         kept = self._settings
         self._settings = attrs.evolve(kept, bounds=settings.bounds, regions=settings.regions)
-        self._streams.seed(settings.place.seeds)
+        self._streams.connect_seeds(settings.place.seeds)
         needs_restart = settings.place != kept.place or settings.capacity != kept.capacity
         logs.event("settings-reloaded", needs_restart=needs_restart)
 
@@ -294,7 +294,7 @@
         self._phase = members.Phase.LEAVING
         self._front.leaving = True
         self._beat()
-        self._desk.members_changed()
+        self._allocator.update_owners()
         self._front.close_idle()
         # The grace goes on while the machine is suspended, so that time counts too.
         while (now := self._clocks.boot()) < end_at:
@@ -363,13 +363,13 @@
         ):
             self._phase = members.Phase.READY
             logs.event("instance-ready", version=self._known.config.version)
-        self._streams.beat()
+        self._streams.send_heartbeats()
 
     def _members_changed(self) -> None:
-        self._desk.members_changed()
+        self._allocator.update_owners()
 
     def _member_lost(self, name: ids.InstanceId) -> None:
-        self._desk.lost(name)
+        self._allocator.remove_instance(name)
         self._follow.lost(name)
 
     def _received(self, sender: ids.InstanceId, message: typing.Any) -> None:
@@ -380,18 +380,18 @@
         elif isinstance(message, slot_messages.RequestCleared):
             self._requests.cleared(message)
         elif isinstance(message, slot_messages.LoadQuery):
-            loads = tuple(self._desk.loads())
+            loads = tuple(self._allocator.loads())
             self._streams.send(sender, slot_messages.LoadReport(message.id, loads))
         elif isinstance(message, slot_messages.LoadReport):
             if self._operators is not None:
                 self._operators.told_loads(message)
         else:
-            self._desk.received(sender, message)
+            self._allocator.handle_message(sender, message)
 
     # The store's view.
 
     def _catalog_changed(self) -> None:
-        self._desk.servers_changed()
+        self._allocator.update_servers()
         if self._phase is members.Phase.STARTING:
             self._beat()
 
@@ -400,15 +400,15 @@
         config = self._known.config
         services = tuple(config.services) if config is not None else ()
         if self._orders.advance(services, self._reactor.seconds(), self._clocks.wall()):
-            self._desk.servers_changed()
-        self._desk.tick()
+            self._allocator.update_servers()
+        self._allocator.tick()
 
     def _feed_candidates(self) -> list[ids.InstanceId]:
-        serving = self._streams.roster.serving(self._reactor.seconds())
+        serving = self._streams.membership.serving(self._reactor.seconds())
         return store_feed.candidates(serving, self._settings.place.region)
 
     def _region_relays(self) -> list[ids.InstanceId]:
-        live = self._streams.roster.live(self._reactor.seconds())
+        live = self._streams.membership.live(self._reactor.seconds())
         found = membership.relays(live, self._settings.place.region)
         return [member.name for member in found]
 
--- a/src/carobhook/transport/entry_requests.py
+++ b/src/carobhook/transport/entry_requests.py
@@ -15,7 +15,7 @@
     client_connections,
     request_flow,
     server_connections,
-    slot_desk,
+    slot_allocator,
 )
 
 _POISON_RETRY_S = 10.0
@@ -30,7 +30,7 @@
     Attributes:
         known: Servers and configuration.
         orders: Operators' orders in force.
-        desk: Where slots are asked for.
+        allocator: Where slots are asked for.
         servers: Connections to servers.
         metrics: Counters and histograms.
         broadcast: Sends a message to all other instances.
@@ -38,7 +38,7 @@
 
     known: catalog.Catalog
     orders: steering.Steering
-    desk: slot_desk.SlotDesk
+    allocator: slot_allocator.SlotAllocator
     servers: server_connections.ServerConnections
     metrics: entry_metrics.EntryMetrics
     broadcast: Callable[[typing.Any], object]
@@ -175,7 +175,7 @@
         flow = request_flow.RequestFlow(
             self._reactor,
             accepted,
-            self._ports.desk,
+            self._ports.allocator,
             self._ports.servers,
             self._wire,
             answer,
--- a/src/carobhook/transport/member_streams.py
+++ b/src/carobhook/transport/member_streams.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class MemberEvents:
+class MembershipCallbacks:
     """Functions to call for messages and for changes of the members.
 
     Attributes:
@@ -42,7 +42,7 @@
         context: TLS context of the streams, None for plain TCP.
 
     Attributes:
-        roster: Table of the live instances.
+        membership: Table of the live instances.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         reactor: typing.Any,
         identity: peers.Identity,
         own_state: Callable[[], members.Member],
-        callbacks: MemberEvents,
+        callbacks: MembershipCallbacks,
         context: typing.Any = None,
     ) -> None:
         self._reactor = reactor
@@ -60,11 +60,11 @@
         self._live: set[ids.InstanceId] = set()
         self._seeds: tuple[str, ...] = ()
         self._seeds_set_at = 0.0
-        self.roster = membership.Membership(identity.name, membership.DEAD_AFTER_S)
+        self.membership = membership.Membership(identity.name, membership.DEAD_AFTER_S)
         self._sync = membership_sync.MembershipSync(
-            identity.name, own_state().region, self.roster
+            identity.name, own_state().region, self.membership
         )
-        self._peers = peers.PeerHub(
+        self._peers = peers.PeerStreams(
             reactor,
             identity,
             self._handle_message,
@@ -86,10 +86,10 @@
         """
         host, _, port = address.rpartition(":")
         self._peers.listen(host, int(port))
-        self.roster.record_heartbeat(self._own_state(), self._reactor.seconds())
-        self.seed(seeds)
+        self.membership.record_heartbeat(self._own_state(), self._reactor.seconds())
+        self.connect_seeds(seeds)
 
-    def seed(self, addresses: typing.Iterable[str]) -> None:
+    def connect_seeds(self, addresses: typing.Iterable[str]) -> None:
         """Replace the seeds, and connect to them."""
         self._seeds = tuple(addresses)
         self._seeds_set_at = self._reactor.seconds()
@@ -101,7 +101,7 @@
 
         If the instance is known, a stream is opened, so that a later attempt may succeed.
         """
-        member = self.roster.get(name)
+        member = self.membership.get(name)
         if member is None:
             return False
         self._sync.record_use(name, self._reactor.seconds())
@@ -114,16 +114,16 @@
         """Send a message on every ready stream."""
         self._peers.broadcast(message)
 
-    def beat(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send heartbeats and updates, and remove the instances whose heartbeats stopped."""
         now = self._reactor.seconds()
         member = self._own_state()
-        self.roster.record_heartbeat(member, now)
+        self.membership.record_heartbeat(member, now)
         self._remove_dead()
         self._peers.keep_only(self._stream_addresses(now))
         self._peers.broadcast(membership_messages.Heartbeat(member))
         for name, message in self._sync.next_updates(now).items():
-            receiver = self.roster.get(name)
+            receiver = self.membership.get(name)
             if receiver is not None:
                 self._peers.send(receiver.peers, message)
 
@@ -142,14 +142,14 @@
         set.
         """
         addresses = set(self._sync.stream_addresses(now))
-        others = [m for m in self.roster.live(now) if m.name != self._own]
+        others = [m for m in self.membership.live(now) if m.name != self._own]
         if not others or now - self._seeds_set_at < _KEEP_SEEDS_S:
             addresses.update(self._seeds)
         return addresses
 
     def _remove_dead(self) -> None:
         now = self._reactor.seconds()
-        live = {member.name for member in self.roster.live(now)}
+        live = {member.name for member in self.membership.live(now)}
         for name in self._live - live:
             logs.warning("member-lost", member=name, reason="silent")
             self._sync.remove(name, now)
@@ -173,7 +173,7 @@
     def _send_introduction(self, address: str) -> None:
         """Send this instance's heartbeat and its whole roster on a new stream."""
         now = self._reactor.seconds()
-        live = self.roster.live(now)
+        live = self.membership.live(now)
         for member in live:
             if member.peers == address:
                 self._sync.reset_updates(member.name)
@@ -193,7 +193,7 @@
 
     def _handle_heartbeat(self, member: members.Member) -> None:
         now = self._reactor.seconds()
-        before = self.roster.get(member.name)
+        before = self.membership.get(member.name)
         self._sync.record_heartbeat(member, now)
         if before is None:
             # It may not know any other instance yet. Recording a use opens a stream to it, on
@@ -206,12 +206,12 @@
     ) -> None:
         """Apply the update of a relay, or of an instance on a new stream."""
         now = self._reactor.seconds()
-        before = {member.name: self.roster.get(member.name) for member in message.members}
+        before = {member.name: self.membership.get(member.name) for member in message.members}
         removed = self._sync.apply_update(sender, message, now)
         for name in removed:
             logs.warning("member-lost", member=name, reason="relay")
         for member in message.members:
-            if self.roster.get(member.name) == member:
+            if self.membership.get(member.name) == member:
                 self._report_change(before[member.name], member)
         if removed:
             for name in removed:
--- a/src/carobhook/transport/operator_view.py
+++ b/src/carobhook/transport/operator_view.py
@@ -14,7 +14,7 @@
 )
 from carobhook.protocol import slot_messages
 from carobhook.state import ids
-from carobhook.transport import member_streams, operator_api, slot_desk
+from carobhook.transport import member_streams, operator_api, slot_allocator
 
 
 @attrs.frozen
@@ -25,14 +25,14 @@
         known: Servers and configuration.
         orders: Operators' orders in force.
         streams: Streams to the other instances.
-        desk: Dispatchers of this instance.
+        allocator: Dispatchers of this instance.
         regions: Regions by failure domain.
     """
 
     known: catalog.Catalog
     orders: steering.Steering
     streams: member_streams.MemberStreams
-    desk: slot_desk.SlotDesk
+    allocator: slot_allocator.SlotAllocator
     regions: Mapping[ids.FailureDomain, ids.Region]
 
     def ports(
@@ -49,7 +49,7 @@
             lambda loads: self._view(loads, seconds()),
             lambda: self._names(seconds()),
             lambda message: self._ask_loads(message, seconds()),
-            self.desk.loads,
+            self.allocator.loads,
         )
 
     def _view(
@@ -59,7 +59,7 @@
             self.orders,
             self.known.config,
             self.known.servers(now),
-            self.streams.roster.live(now),
+            self.streams.membership.live(now),
             loads,
             dict(self.regions),
         )
@@ -75,7 +75,7 @@
 
     def _ask_loads(self, message: slot_messages.LoadQuery, now: float) -> int:
         """Ask the instances that can give out slots; return how many were reached."""
-        live = self.streams.roster.live(now)
+        live = self.streams.membership.live(now)
         able = [
             member.name
             for region in set(self.regions.values())
--- a/src/carobhook/transport/peers.py
+++ b/src/carobhook/transport/peers.py
@@ -245,7 +245,7 @@
         return stream
 
 
-class PeerHub:
+class PeerStreams:
     """All streams to and from other instances.
 
     Args:
--- a/src/carobhook/transport/request_flow.py
+++ b/src/carobhook/transport/request_flow.py
@@ -45,13 +45,13 @@
         """Tell whether an answer is one to a client's attempt."""
 
 
-class Desk(typing.Protocol):
+class SlotAllocator(typing.Protocol):
     """Where slots are asked for."""
 
-    def ask(self, ask: allocation.SlotRequest, region: ids.Region) -> defer.Deferred:
+    def request_slot(self, ask: allocation.SlotRequest, region: ids.Region) -> defer.Deferred:
         """Ask for a slot; fires with `SlotGrant` or `SlotRefusal`; cancelling withdraws."""
 
-    def ended(self, ask_id: ids.RequestId, end: allocation.AttemptOutcome) -> None:
+    def release_slot(self, ask_id: ids.RequestId, end: allocation.AttemptOutcome) -> None:
         """Give a granted slot back."""
 
 
@@ -119,7 +119,7 @@
     Args:
         reactor: Source of time and timers.
         accepted: The request.
-        desk: Where slots are asked for.
+        allocator: Where slots are asked for.
         servers: Connections to servers.
         wire: How requests are written for servers.
         answer: Answers the client; called once at most.
@@ -133,7 +133,7 @@
         self,
         reactor: typing.Any,
         accepted: Accepted,
-        desk: Desk,
+        allocator: SlotAllocator,
         servers: server_connections.ServerConnections,
         wire: Wire,
         answer: Callable[[http1.Response], None],
@@ -144,7 +144,7 @@
     ) -> None:
         self._reactor = reactor
         self._accepted = accepted
-        self._desk = desk
+        self._allocator = allocator
         self._servers = servers
         self._wire = wire
         self._answer = answer
@@ -220,7 +220,7 @@
 
     async def _run(self) -> None:
         while True:
-            decision = await self._desk.ask(self._ask(), self._region)
+            decision = await self._allocator.request_slot(self._ask(), self._region)
             if isinstance(decision, allocation.SlotRefusal):
                 if self._falls_back():
                     continue
@@ -237,7 +237,9 @@
                 self._first_slot_at = self._reactor.seconds()
             if not self._usable(decision.server):
                 # The dispatcher does not know yet what this instance knows.
-                self._desk.ended(self._accepted.id, allocation.AttemptOutcome.CANCELLED)
+                self._allocator.release_slot(
+                    self._accepted.id, allocation.AttemptOutcome.CANCELLED
+                )
                 self._avoided |= {decision.server}
                 continue
             if not await self._send(decision):
@@ -272,7 +274,7 @@
         accepted = self._accepted
         left_s = accepted.deadline_at - self._reactor.seconds() - _ANSWER_MARGIN_S
         if left_s < _SHORTEST_WORK_S:
-            self._desk.ended(accepted.id, allocation.AttemptOutcome.CANCELLED)
+            self._allocator.release_slot(accepted.id, allocation.AttemptOutcome.CANCELLED)
             self._refuse(
                 refusals.Refusal(codes.Code.DEADLINE_UNMEETABLE, self._may_have_run, 1.0)
             )
@@ -292,7 +294,7 @@
             end = self._failed(problem, grant)
             received = None
         finally:
-            self._desk.ended(accepted.id, end)
+            self._allocator.release_slot(accepted.id, end)
         if self._stage is Stage.ENDED:
             return False
         return self._conclude(end, received, grant)
--- a/src/carobhook/transport/slot_shards.py
+++ b/src/carobhook/transport/shard_dispatchers.py
@@ -16,13 +16,13 @@
 )
 from carobhook.protocol import slot_messages
 from carobhook.state import allocation, ids
-from carobhook.transport import slot_asks
+from carobhook.transport import slot_client
 
-Shard = slot_asks.Shard
+Shard = slot_client.Shard
 
 # Fraction of an agreed limit that instances apply. Requests on their way are not counted yet;
 # without this margin, the sum over all instances could exceed the limit.
-BOUND_MARGIN = 0.8
+APPLIED_LIMIT_SHARE = 0.8
 # Reports of other regions are ignored when they are older than this.
 _REPORT_LIFETIME_S = 1.6
 # Weight of the latest sample in the moving average of demand.
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen
-class SlotBounds:
+class SlotLimits:
     """Limits on what all instances together send, and on how fast loans change.
 
     Attributes:
@@ -119,7 +119,7 @@
         regions: Mapping[ids.FailureDomain, ids.Region],
         server_catalog: catalog.Catalog,
         orders: steering.Steering,
-        limits: SlotBounds,
+        limits: SlotLimits,
         owner_of: Callable[[Shard], ids.InstanceId | None],
         send: Callable[[ids.InstanceId, typing.Any], bool],
         live: Callable[[], Collection[ids.InstanceId]],
@@ -161,7 +161,7 @@
             homes=message.homes,
             domain=message.domain,
         )
-        state = self.open(shard)
+        state = self.get_or_create(shard)
         state.requesters[request.id] = sender
         self._send_decisions(state, state.dispatcher.submit(request, now))
 
@@ -199,7 +199,7 @@
         shard = (message.region, message.service)
         if self._owner_of(shard) != self._own:
             return
-        state = self.open(shard)
+        state = self.get_or_create(shard)
         for slot in message.held:
             request = allocation.SlotRequest(
                 slot.id, message.service, slot.route, slot.object_key, 0, now, now
@@ -251,7 +251,7 @@
 
     # Shards.
 
-    def open(self, shard: Shard) -> _ShardState:
+    def get_or_create(self, shard: Shard) -> _ShardState:
         """Return the state of a shard; start its dispatcher if there is none yet."""
         state = self._shards.get(shard)
         if state is not None:
--- a/src/carobhook/transport/slot_desk.py
+++ b/src/carobhook/transport/slot_allocator.py
@@ -9,7 +9,7 @@
 from carobhook.coordination import catalog, membership, steering
 from carobhook.protocol import slot_messages
 from carobhook.state import allocation, codes, ids
-from carobhook.transport import slot_asks, slot_shards
+from carobhook.transport import shard_dispatchers, slot_client
 
 _LOAN_INTERVAL_S = 0.5
 
@@ -23,7 +23,7 @@
         """Send a message to an instance; return False if there is no stream to it."""
 
 
-class SlotDesk:
+class SlotAllocator:
     """Allocates slots to this instance's requests, and dispatches for the shards it owns.
 
     It tracks which instance owns each shard, so that requests go to the right dispatcher.
@@ -49,7 +49,7 @@
         server_catalog: catalog.Catalog,
         orders: steering.Steering,
         peers: PeerSender,
-        limits: slot_shards.SlotBounds,
+        limits: shard_dispatchers.SlotLimits,
         visible: Callable[[ids.Region], float],
     ) -> None:
         self._reactor = reactor
@@ -58,12 +58,12 @@
         self._members = members
         self._catalog = server_catalog
         self._peers = peers
-        self._owners: dict[slot_asks.Shard, ids.InstanceId | None] = {}
+        self._owners: dict[slot_client.Shard, ids.InstanceId | None] = {}
         self._loans_updated_at = 0.0
-        self._client = slot_asks.SlotClient(
-            reactor, self._owner_of, self._send, self.members_changed
+        self._client = slot_client.SlotClient(
+            reactor, self._owner_of, self._send, self.update_owners
         )
-        self._shards = slot_shards.ShardDispatchers(
+        self._dispatchers = shard_dispatchers.ShardDispatchers(
             reactor,
             own,
             regions,
@@ -81,7 +81,9 @@
         """Return the number of this instance's pending slot requests."""
         return self._client.pending_count
 
-    def ask(self, request: allocation.SlotRequest, region: ids.Region) -> defer.Deferred:
+    def request_slot(
+        self, request: allocation.SlotRequest, region: ids.Region
+    ) -> defer.Deferred:
         """Request a slot; the result fires with `SlotGrant` or `SlotRefusal`.
 
         Cancelling the result withdraws the request.
@@ -92,7 +94,9 @@
         """
         return self._client.request_slot(request, region)
 
-    def ended(self, request_id: ids.RequestId, outcome: allocation.AttemptOutcome) -> None:
+    def release_slot(
+        self, request_id: ids.RequestId, outcome: allocation.AttemptOutcome
+    ) -> None:
         """Return a granted slot to its dispatcher, with the outcome of the attempt.
 
         Args:
@@ -103,9 +107,9 @@
 
     def loads(self) -> list[slot_messages.ShardLoad]:
         """Return the loads of the shards that this instance owns."""
-        return self._shards.loads()
+        return self._dispatchers.loads()
 
-    def members_changed(self) -> None:
+    def update_owners(self) -> None:
         """Determine the owner of each known shard again, and apply the changes."""
         serving = self._members.serving(self._reactor.seconds())
         for shard, before in list(self._owners.items()):
@@ -114,13 +118,13 @@
                 self._owners[shard] = owner
                 self._apply_owner_change(shard, before, owner)
 
-    def servers_changed(self) -> None:
+    def update_servers(self) -> None:
         """Update all dispatchers after a change of servers, configuration or orders."""
-        self._shards.update_servers()
+        self._dispatchers.update_servers()
 
-    def lost(self, name: ids.InstanceId) -> None:
+    def remove_instance(self, name: ids.InstanceId) -> None:
         """Free the slots of an instance that died or restarted."""
-        self._shards.remove_instance(name)
+        self._dispatchers.remove_instance(name)
 
     def tick(self) -> None:
         """Decide on queued requests, and update owners and loans at intervals."""
@@ -128,19 +132,19 @@
         elapsed_s = now - self._loans_updated_at
         if elapsed_s >= _LOAN_INTERVAL_S:
             self._loans_updated_at = now
-            self.members_changed()
-            self._open_shards()
-            self._shards.update_loans(elapsed_s, now)
-        self._shards.tick(now)
+            self.update_owners()
+            self._start_dispatchers()
+            self._dispatchers.update_loans(elapsed_s, now)
+        self._dispatchers.tick(now)
 
-    def received(self, sender: ids.InstanceId, message: typing.Any) -> None:
+    def handle_message(self, sender: ids.InstanceId, message: typing.Any) -> None:
         """Pass a message about slots to the client or the dispatchers."""
         if isinstance(message, slot_messages.SlotRequested):
-            self._shards.handle_request(sender, message)
+            self._dispatchers.handle_request(sender, message)
         elif isinstance(message, slot_messages.SlotRequestWithdrawn):
-            self._shards.handle_withdrawal(message)
+            self._dispatchers.handle_withdrawal(message)
         elif isinstance(message, slot_messages.SlotReleased):
-            self._shards.handle_release(message)
+            self._dispatchers.handle_release(message)
         elif isinstance(message, slot_messages.SlotGranted):
             self._client.handle_grant(sender, message.grant)
         elif isinstance(message, slot_messages.SlotRefused):
@@ -150,21 +154,21 @@
         elif isinstance(message, slot_messages.HeldSlotsQuery):
             self._send(sender, self._client.held_slots((message.region, message.service)))
         elif isinstance(message, slot_messages.HeldSlotsReport):
-            self._shards.handle_held_slots(sender, message)
+            self._dispatchers.handle_held_slots(sender, message)
         elif isinstance(message, slot_messages.RegionReport):
-            self._shards.handle_region_report(message)
+            self._dispatchers.handle_region_report(message)
 
     def _send(self, to: ids.InstanceId, message: typing.Any) -> bool:
         """Send a message to an instance, which may be this one."""
         if to == self._own:
-            self.received(self._own, message)
+            self.handle_message(self._own, message)
             return True
         return self._peers.send(to, message)
 
     def _live(self) -> list[ids.InstanceId]:
         return [member.name for member in self._members.live(self._reactor.seconds())]
 
-    def _owner_of(self, shard: slot_asks.Shard) -> ids.InstanceId | None:
+    def _owner_of(self, shard: slot_client.Shard) -> ids.InstanceId | None:
         if shard not in self._owners:
             serving = self._members.serving(self._reactor.seconds())
             self._owners[shard] = membership.shard_owner(*shard, serving)
@@ -172,7 +176,7 @@
 
     def _apply_owner_change(
         self,
-        shard: slot_asks.Shard,
+        shard: slot_client.Shard,
         before: ids.InstanceId | None,
         owner: ids.InstanceId | None,
     ) -> None:
@@ -180,13 +184,13 @@
             "dispatcher-changed", region=shard[0], service=shard[1], before=before, now=owner
         )
         if before == self._own:
-            self._shards.hand_over(shard)
+            self._dispatchers.hand_over(shard)
         if owner == self._own:
-            self._shards.open(shard)
+            self._dispatchers.get_or_create(shard)
         if owner is not None:
             self._client.switch_owner(shard, owner)
 
-    def _open_shards(self) -> None:
+    def _start_dispatchers(self) -> None:
         """Start a dispatcher for each shard that this instance owns."""
         config = self._catalog.config
         if config is None:
@@ -194,7 +198,7 @@
         for region in set(self._regions.values()):
             for service in config.services:
                 if self._owner_of((region, service)) == self._own:
-                    self._shards.open((region, service))
+                    self._dispatchers.get_or_create((region, service))
 
 
 def _refusal(
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -452,7 +452,7 @@
         await self.until(lambda: second.phase is members.Phase.READY)
         await self.until(
             lambda: all(
-                len(d._streams.roster.serving(reactor.seconds())) == 2 for d in self.daemons
+                len(d._streams.membership.serving(reactor.seconds())) == 2 for d in self.daemons
             )
         )
 
@@ -493,7 +493,7 @@
         await task.deferLater(reactor, 0.1, lambda: None)
         stopping = defer.ensureDeferred(self.daemons[1].stop())
         await self.until(
-            lambda: len(self.daemons[0]._streams.roster.serving(reactor.seconds())) == 1
+            lambda: len(self.daemons[0]._streams.membership.serving(reactor.seconds())) == 1
         )
         assert (await running).status == 200
         await stopping
@@ -503,7 +503,8 @@
         await self.join()
         await self.daemons.pop()._shut_down()
         await self.until(
-            lambda: len(self.daemons[0]._streams.roster.serving(reactor.seconds())) == 1, 3.0
+            lambda: len(self.daemons[0]._streams.membership.serving(reactor.seconds())) == 1,
+            3.0,
         )
         assert (await self.request()).status == 200
 
--- a/tests/test_explaining.py
+++ b/tests/test_explaining.py
@@ -132,7 +132,11 @@
 
     async def test_repeats_used_up(self):
         """1052, when the service's share of repeats is gone."""
-        budget = self.daemons[0]._desk._shards.open(("north", "svc")).dispatcher.retry_budget
+        budget = (
+            self.daemons[0]
+            ._allocator._dispatchers.get_or_create(("north", "svc"))
+            .dispatcher.retry_budget
+        )
         for _ in range(200):
             budget.try_consume(reactor.seconds())
         self.behave(status=500)
--- a/tests/test_global_limits.py
+++ b/tests/test_global_limits.py
@@ -9,7 +9,7 @@
 
 import test_slot_desk as slot_tests
 from carobhook.state import allocation, ids, routing
-from carobhook.transport import slot_shards
+from carobhook.transport import shard_dispatchers
 
 COLD_PER_S = 5.0
 # Requests that a cold server may get within one second: 1.5 times its rate plus 5.
@@ -47,7 +47,7 @@
             for name in ("i-1", "i-2"):
                 entry = known.servers(0.0)[0].entry
                 known.put(attrs.evolve(entry, name=ids.Server(name), cold_s=1000.0), 0.0)
-            allocator.servers_changed()
+            allocator.update_servers()
         self.request_count = 0
         self.retry_share = 0.0
         self.retry_ids, self.request_times, self.retry_times = set(), [], []
@@ -67,12 +67,12 @@
             for other in names:
                 if (name, other) in self.cut:
                     self.memberships[name].remove(other)
-                    self.allocators[name].lost(other)
+                    self.allocators[name].remove_instance(other)
                 else:
                     self.memberships[name].record_heartbeat(
                         slot_tests.member(other), self.clock.seconds()
                     )
-            self.allocators[name].members_changed()
+            self.allocators[name].update_owners()
             self.send_requests(3)
 
     def send_requests(self, count):
@@ -95,7 +95,7 @@
                 self.retry_ids.add(request.id)
             else:
                 self.request_times.append(now)
-            deferred = self.allocators[name].ask(request, slot_tests.NORTH)
+            deferred = self.allocators[name].request_slot(request, slot_tests.NORTH)
             deferred.addCallbacks(self.record_grant, lambda _: None)
 
     def record_grant(self, decision):
@@ -108,7 +108,7 @@
         name = decision.ask_id.split("-")[0]
         self.clock.callLater(
             0.2,
-            self.allocators[name].ended,
+            self.allocators[name].release_slot,
             decision.ask_id,
             allocation.AttemptOutcome.ANSWERED,
         )
@@ -157,8 +157,8 @@
                     simulation.repartition()
             window_s = slot_tests.LIMITS.budget_window_s
             # Instances apply only this share of the agreed limits; dividing restores those.
-            slack = slot_tests.LIMITS.budget_slack / slot_shards.BOUND_MARGIN
-            ratio = slot_tests.LIMITS.budget_ratio / slot_shards.BOUND_MARGIN
+            slack = slot_tests.LIMITS.budget_slack / shard_dispatchers.APPLIED_LIMIT_SHARE
+            ratio = slot_tests.LIMITS.budget_ratio / shard_dispatchers.APPLIED_LIMIT_SHARE
             for start in simulation.retry_times:
                 retries = sum(start <= at < start + window_s for at in simulation.retry_times)
                 requests = sum(
--- a/tests/test_request_flow.py
+++ b/tests/test_request_flow.py
@@ -14,13 +14,13 @@
 REPEATABLE = routing.Idempotency.REPEATABLE
 
 
-class Desk:
+class SlotAllocator:
     """Grants or refuses as a test says; keeps what it was asked and told."""
 
     def __init__(self):
         self.asked, self.ends, self.waiting = [], [], []
 
-    def ask(self, ask, region):
+    def request_slot(self, ask, region):
         """Take an ask in; the test answers it."""
         answered = defer.Deferred()
         self.asked.append((ask, region))
@@ -39,7 +39,7 @@
         ask = self.asked[-1][0]
         self.waiting.pop().callback(allocation.SlotRefusal(ask.id, code, 0.7, "running=4/4"))
 
-    def ended(self, ask_id, end):
+    def release_slot(self, ask_id, end):
         """Take a slot back."""
         self.ends.append(end)
 
@@ -75,7 +75,7 @@
 
     def __init__(self, idempotency=REPEATABLE, attempts=2, timeout_s=1.0, fallback=None):
         self.clock = task.Clock()
-        self.desk, self.servers = Desk(), Servers()
+        self.allocator, self.servers = SlotAllocator(), Servers()
         self.answers, self.outcomes, self.over = [], [], []
         route = routing.Route(
             "r",
@@ -107,7 +107,7 @@
         self.flow = request_flow.RequestFlow(
             self.clock,
             accepted,
-            self.desk,
+            self.allocator,
             self.servers,
             requests.ServerCodec(),
             self.answers.append,
@@ -148,24 +148,24 @@
     def test_refusal_says_what_it_was_decided_from(self):
         """The dispatcher's reason reaches the log."""
         one = Case()
-        one.desk.refuse()
+        one.allocator.refuse()
         assert one.told == (503, codes.Code.DEADLINE_UNMEETABLE)
         assert one.outcomes[0].refusal.detail == "running=4/4"
 
     def test_what_was_shifted_and_is_refused_is_served_at_home(self):
         """An order never loses a request that its own region can serve."""
         one = Case(fallback="north")
-        one.desk.refuse()
-        assert [region for _, region in one.desk.asked] == ["south", "north"]
-        one.desk.grant()
+        one.allocator.refuse()
+        assert [region for _, region in one.allocator.asked] == ["south", "north"]
+        one.allocator.grant()
         one.servers.answer()
         assert one.told == (200, codes.Code.OK)
 
     def test_home_is_asked_once(self):
         """What home refuses too is refused."""
         one = Case(fallback="north")
-        one.desk.refuse()
-        one.desk.refuse()
+        one.allocator.refuse()
+        one.allocator.refuse()
         assert one.told == (503, codes.Code.DEADLINE_UNMEETABLE)
 
 
@@ -175,7 +175,7 @@
     def test_timeout_of_work_that_runs_once(self, caplog):
         """The client is told at the timeout; the late answer is another line."""
         one = Case(ONCE)
-        one.desk.grant()
+        one.allocator.grant()
         with caplog.at_level("INFO", "carobhook"):
             one.clock.advance(1.0)
             assert one.told == (504, codes.Code.DEADLINE_PASSED_RUNNING)
@@ -202,20 +202,20 @@
     def test_client_that_leaves_work_that_runs_once(self):
         """The work goes on, and its slot is held until its end."""
         one = Case(ONCE)
-        one.desk.grant()
+        one.allocator.grant()
         one.flow.client_gone()
         assert one.told == (0, codes.Code.CALLER_GONE)
-        assert not one.over and not one.desk.ends
+        assert not one.over and not one.allocator.ends
         one.clock.advance(2.0)
         one.servers.answer()
-        assert one.desk.ends == [allocation.AttemptOutcome.ANSWERED]
+        assert one.allocator.ends == [allocation.AttemptOutcome.ANSWERED]
         assert one.told == (0, codes.Code.CALLER_GONE)
         assert one.over
 
     def test_broken_connection(self):
         """What may run once is not sent again, and nobody claims that it did not run."""
         one = Case(ONCE)
-        one.desk.grant()
+        one.allocator.grant()
         one.servers.fail()
         assert one.told == (502, codes.Code.BACKEND_LOST)
         assert one.answers[0].get("carobhook-run") == "unknown"
@@ -224,7 +224,10 @@
         """A request that no server ran is refused as not run."""
         one = Case(ONCE)
         for server in ("s1", "s2"):
-            one.desk.grant(server)
+            one.allocator.grant(server)
             one.servers.answer(503, X_Not_Executed="1")
         assert one.told == (503, codes.Code.BACKEND_SHED)
-        assert [ask.avoided for ask, _ in one.desk.asked] == [frozenset(), frozenset({"s1"})]
+        assert [ask.avoided for ask, _ in one.allocator.asked] == [
+            frozenset(),
+            frozenset({"s1"}),
+        ]
--- a/tests/test_slot_desk.py
+++ b/tests/test_slot_desk.py
@@ -1,16 +1,16 @@
-"""Tests of carobhook.transport.slot_desk: slots that instances request from each other."""
+"""Tests of carobhook.transport.slot_allocator: slots that instances request from each other."""
 
 from twisted.internet import task
 
 from carobhook.coordination import catalog, membership, steering
 from carobhook.protocol import slot_messages
 from carobhook.state import allocation, codes, ids, members, routing, servers
-from carobhook.transport import slot_desk, slot_shards
+from carobhook.transport import shard_dispatchers, slot_allocator
 
 NORTH = ids.Region("north")
 SERVICE = ids.Service("svc")
 ZONE = ids.FailureDomain("north-a")
-LIMITS = slot_shards.SlotBounds(0.2, 58, 10.0, 1.5, 5.0, 0.05)
+LIMITS = shard_dispatchers.SlotLimits(0.2, 58, 10.0, 1.5, 5.0, 0.05)
 
 
 def member(name):
@@ -60,7 +60,7 @@
             0.0,
         )
         self.memberships[name] = membership.Membership(name)
-        self.allocators[name] = slot_desk.SlotDesk(
+        self.allocators[name] = slot_allocator.SlotAllocator(
             self.clock,
             name,
             {ZONE: NORTH},
@@ -95,7 +95,9 @@
             now + 5.0,
         )
         decisions = []
-        self.allocators[name].ask(request, NORTH).addCallbacks(decisions.append, lambda _: None)
+        self.allocators[name].request_slot(request, NORTH).addCallbacks(
+            decisions.append, lambda _: None
+        )
         return decisions
 
     def kill(self, dead):
@@ -105,8 +107,8 @@
                 table.remove(dead)
         for name, allocator in self.allocators.items():
             if name != dead:
-                allocator.lost(dead)
-                allocator.members_changed()
+                allocator.remove_instance(dead)
+                allocator.update_owners()
 
 
 class Streams:
@@ -120,7 +122,7 @@
         """Deliver a message at once, unless the stream is cut."""
         if (self.own, name) in self.deployment.cut:
             return False
-        self.deployment.allocators[name].received(self.own, message)
+        self.deployment.allocators[name].handle_message(self.own, message)
         return True
 
 
@@ -133,7 +135,7 @@
         first, second = deployment.request_slot("a", 1), deployment.request_slot("b", 1)
         third = deployment.request_slot("c", 1, target_s=9.0)
         assert [len(first), len(second), len(third)] == [1, 1, 0]
-        deployment.allocators["a"].ended(
+        deployment.allocators["a"].release_slot(
             ids.RequestId("a-1"), allocation.AttemptOutcome.ANSWERED
         )
         assert isinstance(third[0], allocation.SlotGrant)
@@ -171,8 +173,10 @@
         request = allocation.SlotRequest(
             ids.RequestId("b-9"), SERVICE, "route", None, 1, now + 9.0, now + 9.0
         )
-        deployment.allocators["b"].ask(request, NORTH).addErrback(lambda _: None).cancel()
-        deployment.allocators["a"].ended(
+        deployment.allocators["b"].request_slot(request, NORTH).addErrback(
+            lambda _: None
+        ).cancel()
+        deployment.allocators["a"].release_slot(
             ids.RequestId("a-1"), allocation.AttemptOutcome.ANSWERED
         )
         assert isinstance(deployment.request_slot("a", 2)[0], allocation.SlotGrant)
@@ -192,7 +196,7 @@
         deployment.kill(before)
         assert deployment.owner != before
         assert waiting == []
-        deployment.allocators[others[0]].ended(
+        deployment.allocators[others[0]].release_slot(
             ids.RequestId(f"{others[0]}-1"), allocation.AttemptOutcome.ANSWERED
         )
         assert isinstance(waiting[0], allocation.SlotGrant)
@@ -208,7 +212,7 @@
         deployment.kill(before)
         assert deployment.owner != before
         assert waiting == []
-        deployment.allocators[others[1]].ended(
+        deployment.allocators[others[1]].release_slot(
             ids.RequestId(f"{others[1]}-1"), allocation.AttemptOutcome.ANSWERED
         )
         assert isinstance(waiting[0], allocation.SlotGrant)
@@ -222,7 +226,7 @@
         after = deployment.owner
         silent = next(name for name in others if name != after)
         deployment.cut.add((silent, after))
-        deployment.allocators[after]._shards.hand_over((NORTH, SERVICE))
+        deployment.allocators[after]._dispatchers.hand_over((NORTH, SERVICE))
         decisions = deployment.request_slot(after, 1)
         assert decisions == []
         deployment.clock.advance(0.25)
@@ -265,5 +269,5 @@
             frozenset(),
             ZONE,
         )
-        deployment.allocators[wrong].received(ids.InstanceId("elsewhere"), message)
+        deployment.allocators[wrong].handle_message(ids.InstanceId("elsewhere"), message)
         assert sent == [slot_messages.NotDispatcher(ids.RequestId("x"))]
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -100,7 +100,7 @@
     def hub(self, name, context, received=lambda sender, message: None):
         """Return a hub that listens."""
         identity = peers.Identity(ids.InstanceId(name), ids.Incarnation("0" * 16), b"k" * 16)
-        hub = peers.PeerHub(reactor, identity, received, peer_codec.CODEC, context=context)
+        hub = peers.PeerStreams(reactor, identity, received, peer_codec.CODEC, context=context)
         self.addCleanup(lambda: defer.ensureDeferred(hub.stop()))
         hub.listen("127.0.0.1", 0)
         return hub
