--- a/src/carobhook/transport/peers.py
+++ b/src/carobhook/transport/peers.py
@@ -19,7 +19,7 @@
 _MAX_RECONNECT_S = 2.0
 _HELLO_TIMEOUT_S = 2.0
 # A connection on which nothing is received for this long is closed. Both sides receive, as
-# heartbeats are acknowledged.
+# heartbeats are acknowledged. It is also the timeout of attempts to connect.
 _SILENCE_TIMEOUT_S = 2.0
 _NONCE_BYTES = 16
 _MAX_HELLO_BYTES = 64 * 1024
--- a/src/carobhook/transport/shard_dispatchers.py
+++ b/src/carobhook/transport/shard_dispatchers.py
@@ -40,7 +40,7 @@
         budget_ratio: Retries allowed for each request of a service.
         budget_slack: Retries allowed in a window in addition, in all regions together.
         budget_window_s: Length of the window in seconds.
-        cold_factor: A cold server may get this multiple of its configured rate.
+        cold_factor: Multiple of its configured rate that a cold server may get.
         cold_slack: Requests a second that a cold server may get in addition.
         loan_step: Largest change of the loan to one region per update, as a share of the
             borrower's demand.
@@ -175,7 +175,7 @@
             return
         granted = state.granted.pop(message.id, None)
         if granted is not None:
-            # The grant was on its way when the request was withdrawn: no server was sent it.
+            # The grant was still on its way, so the request was not sent to the server.
             now = self._reactor.seconds()
             state.dispatcher.release_slot(
                 message.id, granted[1], allocation.AttemptOutcome.CANCELLED, now
--- a/tests/test_slot_desk.py
+++ b/tests/test_slot_desk.py
@@ -224,8 +224,8 @@
         others = [name for name in deployment.allocators if name != before]
         deployment.kill(before)
         after = deployment.owner
-        silent = next(name for name in others if name != after)
-        deployment.cut.add((silent, after))
+        unreachable = next(name for name in others if name != after)
+        deployment.cut.add((unreachable, after))
         deployment.allocators[after]._dispatchers.hand_over((NORTH, SERVICE))
         decisions = deployment.request_slot(after, 1)
         assert decisions == []
