--- /dev/null
+++ b/src/carobhook/transport/shard_dispatchers.py
@@ -0,0 +1,487 @@
+"""Runs the dispatchers of the shards that this instance owns."""
+
+import typing
+from collections.abc import Callable, Collection, Iterable, Mapping
+
+import attrs
+
+from carobhook import logs
+from carobhook.coordination import (
+    catalog,
+    dispatcher,
+    retry_budget,
+    server_pool,
+    slot_loans,
+    steering,
+)
+from carobhook.protocol import slot_messages
+from carobhook.state import allocation, ids
+from carobhook.transport import slot_client
+
+Shard = slot_client.Shard
+
+# Fraction of an agreed limit that instances apply. Requests on their way are not counted yet;
+# without this margin, the sum over all instances could exceed the limit.
+APPLIED_LIMIT_SHARE = 0.8
+# Reports of other regions are ignored when they are older than this.
+_REPORT_LIFETIME_S = 1.6
+# Weight of the latest sample in the moving average of demand.
+_DEMAND_WEIGHT = 0.2
+# A new dispatcher waits at most this long for the reports of the slots that instances already
+# hold. Without the reports, it would grant slots that are in use.
+_TAKEOVER_S = 0.25
+
+
+@attrs.frozen
+class SlotLimits:
+    """Limits on what all instances together send, and on how fast loans change.
+
+    Attributes:
+        budget_ratio: Retries allowed for each request of a service.
+        budget_slack: Retries allowed in a window in addition, in all regions together.
+        budget_window_s: Length of the window in seconds.
+        cold_factor: Multiple of its configured rate that a cold server may get.
+        cold_slack: Requests a second that a cold server may get in addition.
+        loan_step: Largest change of the loan to one region per update, as a share of the
+            borrower's demand.
+    """
+
+    budget_ratio: float
+    budget_slack: float
+    budget_window_s: float
+    cold_factor: float
+    cold_slack: float
+    loan_step: float
+
+
+@attrs.define(eq=False)
+class _ShardState:
+    """Dispatcher of a shard, with its requests, its grants and the loans between regions.
+
+    Attributes:
+        dispatcher: Decides on the slot requests of the shard.
+        loans: Decides how many slots are lent to each other region.
+        requesters: Instance that sent each undecided slot request.
+        granted: Instance and server of each granted slot.
+        unreported: Instances that have not reported yet which slots they hold.
+        paused_until: Monotonic time in seconds at which the dispatcher stops waiting for these
+            reports.
+        demand: Moving average of the slots that requests need, None before the first request.
+        reports: Latest report of each other region's dispatcher, and when it arrived.
+        lent: Slots of each server that are lent to each other region.
+        withheld: Slots of each server that orders withhold.
+        recalled: Recalled slots that their borrowers may still be using.
+    """
+
+    dispatcher: dispatcher.Dispatcher
+    loans: slot_loans.LoanController
+    requesters: dict[ids.RequestId, ids.InstanceId] = attrs.field(factory=dict)
+    granted: dict[ids.RequestId, tuple[ids.InstanceId, ids.Server]] = attrs.field(factory=dict)
+    unreported: set[ids.InstanceId] = attrs.field(factory=set)
+    paused_until: float = 0.0
+    demand: float | None = None
+    reports: dict[ids.Region, tuple[slot_messages.RegionReport, float]] = attrs.field(
+        factory=dict
+    )
+    lent: dict[ids.Region, dict[ids.Server, int]] = attrs.field(factory=dict)
+    withheld: Mapping[ids.Server, int] = attrs.field(factory=dict)
+    recalled: slot_loans.RecalledSlots = attrs.field(factory=slot_loans.RecalledSlots)
+
+    def recent_reports(self, now: float) -> dict[ids.Region, slot_messages.RegionReport]:
+        """Return the reports of other regions that are not too old."""
+        return {
+            region: report
+            for region, (report, received_at) in self.reports.items()
+            if now - received_at <= _REPORT_LIFETIME_S
+        }
+
+
+class ShardDispatchers:
+    """Dispatchers of the shards that this instance owns, and the loans of their slots.
+
+    Args:
+        reactor: Source of time.
+        own: Name of this instance.
+        regions: Regions by failure domain.
+        server_catalog: Servers and configuration.
+        orders: Operators' orders in force.
+        limits: Limits on what all instances together send.
+        owner_of: Returns the instance that dispatches for a shard, or None.
+        send: Sends a message to an instance, which may be this one.
+        live: Returns the live instances.
+        visible: Returns the fraction of a region's recently known instances that are live.
+    """
+
+    def __init__(
+        self,
+        reactor: typing.Any,
+        own: ids.InstanceId,
+        regions: Mapping[ids.FailureDomain, ids.Region],
+        server_catalog: catalog.Catalog,
+        orders: steering.Steering,
+        limits: SlotLimits,
+        owner_of: Callable[[Shard], ids.InstanceId | None],
+        send: Callable[[ids.InstanceId, typing.Any], bool],
+        live: Callable[[], Collection[ids.InstanceId]],
+        visible: Callable[[ids.Region], float],
+    ) -> None:
+        self._reactor = reactor
+        self._own = own
+        self._regions = regions
+        self._catalog = server_catalog
+        self._orders = orders
+        self._limits = limits
+        self._owner_of = owner_of
+        self._send = send
+        self._live = live
+        self._visible = visible
+        self._shards: dict[Shard, _ShardState] = {}
+
+    # Slot requests.
+
+    def handle_request(
+        self, sender: ids.InstanceId, message: slot_messages.SlotRequested
+    ) -> None:
+        """Submit a slot request, or answer that this instance is not the dispatcher."""
+        now = self._reactor.seconds()
+        shard = (message.region, message.service)
+        if self._owner_of(shard) != self._own:
+            self._send(sender, slot_messages.NotDispatcher(message.id))
+            return
+        request = allocation.SlotRequest(
+            id=message.id,
+            service=message.service,
+            route=message.route,
+            object_key=message.object_key,
+            priority=message.priority,
+            target_at=now + message.target_ms / 1000,
+            deadline_at=now + message.deadline_ms / 1000,
+            repeat=message.repeat,
+            avoided=message.avoided,
+            homes=message.homes,
+            domain=message.domain,
+        )
+        state = self.get_or_create(shard)
+        state.requesters[request.id] = sender
+        self._send_decisions(state, state.dispatcher.submit(request, now))
+
+    def handle_withdrawal(self, message: slot_messages.SlotRequestWithdrawn) -> None:
+        """Remove a slot request from the queue, or free its slot if it was granted one."""
+        state = self._shards.get((message.region, message.service))
+        if state is None:
+            return
+        state.requesters.pop(message.id, None)
+        if state.dispatcher.withdraw(message.id):
+            return
+        granted = state.granted.pop(message.id, None)
+        if granted is not None:
+            # The grant was still on its way, so the request was not sent to the server.
+            now = self._reactor.seconds()
+            state.dispatcher.release_slot(
+                message.id, granted[1], allocation.AttemptOutcome.CANCELLED, now
+            )
+
+    def handle_release(self, message: slot_messages.SlotReleased) -> None:
+        """Free a slot, and send the decisions that this makes possible."""
+        state = self._shards.get((message.region, message.service))
+        if state is None:
+            return
+        state.granted.pop(message.id, None)
+        now = self._reactor.seconds()
+        decisions = state.dispatcher.release_slot(message.id, message.server, message.end, now)
+        self._send_decisions(state, decisions)
+
+    def handle_held_slots(
+        self, sender: ids.InstanceId, message: slot_messages.HeldSlotsReport
+    ) -> None:
+        """Count the slots that an instance's requests got from the previous dispatcher."""
+        now = self._reactor.seconds()
+        shard = (message.region, message.service)
+        if self._owner_of(shard) != self._own:
+            return
+        state = self.get_or_create(shard)
+        for slot in message.held:
+            request = allocation.SlotRequest(
+                slot.id, message.service, slot.route, slot.object_key, 0, now, now
+            )
+            state.dispatcher.register_running(request, slot.server, now)
+            state.granted[slot.id] = (sender, slot.server)
+        state.unreported.discard(sender)
+        self._decide(state, now)
+
+    def remove_instance(self, name: ids.InstanceId) -> None:
+        """Free the slots of an instance that died or restarted: its requests ended with it."""
+        now = self._reactor.seconds()
+        for state in self._shards.values():
+            state.unreported.discard(name)
+            for request_id in [r for r, sender in state.requesters.items() if sender == name]:
+                del state.requesters[request_id]
+                state.dispatcher.withdraw(request_id)
+            granted_ids = [
+                request_id for request_id, entry in state.granted.items() if entry[0] == name
+            ]
+            for request_id in granted_ids:
+                server = state.granted.pop(request_id)[1]
+                decisions = state.dispatcher.release_slot(
+                    request_id, server, allocation.AttemptOutcome.CANCELLED, now
+                )
+                self._send_decisions(state, decisions)
+            self._decide(state, now)
+
+    def _decide(self, state: _ShardState, now: float) -> None:
+        state.dispatcher.paused = bool(state.unreported) and now < state.paused_until
+        self._send_decisions(state, state.dispatcher.decide(now))
+
+    def _send_decisions(
+        self, state: _ShardState, decisions: Iterable[dispatcher.Decision]
+    ) -> None:
+        for decision in decisions:
+            requester = state.requesters.pop(decision.ask_id, self._own)
+            if isinstance(decision, allocation.SlotGrant):
+                state.granted[decision.ask_id] = (requester, decision.server)
+                message: typing.Any = slot_messages.SlotGranted(decision)
+            else:
+                message = slot_messages.SlotRefused(
+                    decision.ask_id,
+                    decision.code.number,
+                    decision.retry_after_s,
+                    decision.detail,
+                )
+            self._send(requester, message)
+
+    # Shards.
+
+    def get_or_create(self, shard: Shard) -> _ShardState:
+        """Return the state of a shard; start its dispatcher if there is none yet."""
+        state = self._shards.get(shard)
+        if state is not None:
+            return state
+        regions = max(1, len(set(self._regions.values())))
+        budget = retry_budget.RetryBudget(
+            self._limits.budget_ratio,
+            self._limits.budget_slack / regions,
+            self._limits.budget_window_s,
+            self._reactor.seconds(),
+        )
+        state = _ShardState(
+            dispatcher.Dispatcher(budget), slot_loans.LoanController(self._limits.loan_step)
+        )
+        self._shards[shard] = state
+        self._update_pool(shard, state)
+        self._query_held_slots(shard, state)
+        return state
+
+    def _query_held_slots(self, shard: Shard, state: _ShardState) -> None:
+        """Ask every live instance which slots of a new shard its requests hold."""
+        state.unreported = set(self._live()) - {self._own}
+        state.paused_until = self._reactor.seconds() + _TAKEOVER_S
+        state.dispatcher.paused = bool(state.unreported)
+        for name in sorted(state.unreported):
+            self._send(name, slot_messages.HeldSlotsQuery(*shard))
+        self._send(self._own, slot_messages.HeldSlotsQuery(*shard))
+
+    def hand_over(self, shard: Shard) -> None:
+        """Stop dispatching for a shard, and redirect queued requests to its new owner."""
+        state = self._shards.pop(shard, None)
+        if state is None:
+            return
+        for request in state.dispatcher.clear_queue():
+            requester = state.requesters.pop(request.id, None)
+            if requester is not None:
+                self._send(requester, slot_messages.NotDispatcher(request.id))
+
+    def update_servers(self) -> None:
+        """Update all dispatchers after a change of servers, configuration or orders."""
+        now = self._reactor.seconds()
+        for shard, state in list(self._shards.items()):
+            self._update_pool(shard, state)
+            self._decide(state, now)
+
+    def tick(self, now: float) -> None:
+        """Decide on the queued requests of all shards."""
+        for state in list(self._shards.values()):
+            self._decide(state, now)
+
+    def loads(self) -> list[slot_messages.ShardLoad]:
+        """Return the loads of the shards that this instance owns."""
+        loads = []
+        for (region, service), state in self._shards.items():
+            if self._owner_of((region, service)) != self._own:
+                continue
+            pool = state.dispatcher.pool
+            own = sum(s.slots for s in pool.servers if s.region == region)
+            lent = {to: sum(counts.values()) for to, counts in state.lent.items()}
+            withheld = sum(state.withheld.values())
+            loads.append(
+                slot_messages.ShardLoad(
+                    region,
+                    service,
+                    own,
+                    pool.slots,
+                    pool.running,
+                    state.dispatcher.queue_length,
+                    state.demand,
+                    tuple(sorted(lent.items())),
+                    withheld,
+                )
+            )
+        return loads
+
+    # Servers and loans.
+
+    def _update_pool(self, shard: Shard, state: _ShardState) -> None:
+        """Replace the servers of a dispatcher: its region's own ones, and borrowed ones."""
+        now = self._reactor.seconds()
+        region, service = shard
+        borrowed: dict[ids.Server, int] = {}
+        for report in state.recent_reports(now).values():
+            borrowed.update(report.lent)
+        offers = []
+        own = []
+        visible = self._visible(region)
+        cold_rate = self._cold_rate(service, visible)
+        for view in self._catalog.servers_of(service, now):
+            entry = view.entry
+            home = self._regions.get(entry.zone)
+            if home is None:
+                continue
+            if home == region:
+                own.append(view)
+                offers.append(server_pool.ServerOffer(view, home, entry.slots, cold_rate))
+            elif entry.name in borrowed and now >= view.cold_until:
+                slots = borrowed[entry.name]
+                offers.append(server_pool.ServerOffer(view, home, slots, cold_rate))
+        state.withheld = self._orders.withheld_slots(service, region, own)
+        state.dispatcher.pool.replace(offers, now)
+        state.dispatcher.retry_budget.share = visible
+        self._update_unavailable_slots(state, now)
+
+    def _cold_rate(self, service: ids.Service, visible: float) -> float | None:
+        """Return how many requests a second may be sent to a cold server, None for no limit.
+
+        Args:
+            service: Service of the server.
+            visible: Fraction of the region's recently known instances that are live.
+        """
+        config = self._catalog.config
+        policy = config.services.get(service) if config is not None else None
+        if policy is None or policy.cold_requests_per_s <= 0:
+            return None
+        max_per_s = (
+            policy.cold_requests_per_s * self._limits.cold_factor + self._limits.cold_slack
+        )
+        return server_pool.cold_rate_limit(policy.cold_requests_per_s, max_per_s, visible)
+
+    def _update_unavailable_slots(self, state: _ShardState, now: float) -> None:
+        """Update how many slots of each server the dispatcher must not grant.
+
+        These are the slots that orders withhold, that are lent, that were recalled a moment
+        ago, and that another region's requests hold in excess of its loan.
+        """
+        counts: dict[ids.Server, int] = dict(state.withheld)
+        state.recalled.expire(now)
+        for reserved in (*state.lent.values(), state.recalled.counts):
+            for server, count in reserved.items():
+                counts[server] = counts.get(server, 0) + count
+        for region, report in state.recent_reports(now).items():
+            for server, in_use in report.used:
+                excess = in_use - state.lent.get(region, {}).get(server, 0)
+                if excess > 0:
+                    counts[server] = counts.get(server, 0) + excess
+        state.dispatcher.pool.set_unavailable_slots(counts)
+
+    def update_loans(self, elapsed_s: float, now: float) -> None:
+        """Update the loans of all shards, and report them to the other regions' dispatchers.
+
+        Args:
+            elapsed_s: Seconds since the last update.
+            now: Monotonic time in seconds.
+        """
+        for shard, state in list(self._shards.items()):
+            if self._owner_of(shard) == self._own:
+                self._update_loans(shard, state, elapsed_s, now)
+            self._update_pool(shard, state)
+
+    def _update_loans(
+        self, shard: Shard, state: _ShardState, elapsed_s: float, now: float
+    ) -> None:
+        region = shard[0]
+        self._update_demand(state, elapsed_s)
+        own_slots = {
+            pooled.name: max(0, pooled.slots - state.withheld.get(pooled.name, 0))
+            for pooled in state.dispatcher.pool.servers
+            if pooled.region == region
+            and not pooled.is_suspect
+            and now >= pooled.view.cold_until
+        }
+        loads = {
+            other: slot_loans.RegionLoad(report.slots, report.demand)
+            for other, report in state.recent_reports(now).items()
+        }
+        loads[region] = slot_loans.RegionLoad(sum(own_slots.values()), state.demand)
+        state.loans.update(slot_loans.target_loans(region, loads), loads)
+        previous = state.lent
+        state.recalled.expire(now)
+        lendable = {
+            server: max(0, own_slots[server] - state.recalled.count(server))
+            for server in sorted(own_slots)
+        }
+        state.lent = slot_loans.place_loans(state.loans.lent, lendable, state.lent)
+        state.recalled.recall(previous, state.lent, now)
+        if state.lent != previous:
+            _log_loans(shard, state.lent, loads)
+        for other in set(self._regions.values()) - {region}:
+            self._send_region_report(shard, state, other, loads[region])
+
+    def _update_demand(self, state: _ShardState, elapsed_s: float) -> None:
+        recent = state.dispatcher.collect_demand() / max(0.05, min(elapsed_s, 2.0))
+        if state.demand is not None:
+            state.demand += _DEMAND_WEIGHT * (recent - state.demand)
+        elif recent > 0:
+            state.demand = recent
+
+    def _send_region_report(
+        self, shard: Shard, state: _ShardState, other: ids.Region, load: slot_loans.RegionLoad
+    ) -> None:
+        region, service = shard
+        owner = self._owner_of((other, service))
+        if owner is None:
+            return
+        used = tuple(
+            (pooled.name, len(pooled.running))
+            for pooled in state.dispatcher.pool.servers
+            if pooled.region == other and pooled.running
+        )
+        lent = tuple(state.lent.get(other, {}).items())
+        report = slot_messages.RegionReport(
+            service, region, other, load.slots, load.demand, lent, used
+        )
+        self._send(owner, report)
+
+    def handle_region_report(self, report: slot_messages.RegionReport) -> None:
+        """Record the report of another region's dispatcher, and apply what changed."""
+        shard = (report.receiver, report.service)
+        state = self._shards.get(shard)
+        if state is None:
+            return
+        now = self._reactor.seconds()
+        previous = state.reports.get(report.region)
+        state.reports[report.region] = (report, now)
+        if previous is None or previous[0].lent != report.lent:
+            self._update_pool(shard, state)
+        elif previous[0].used != report.used:
+            self._update_unavailable_slots(state, now)
+
+
+def _log_loans(
+    shard: Shard,
+    lent: Mapping[ids.Region, Mapping[ids.Server, int]],
+    loads: Mapping[ids.Region, slot_loans.RegionLoad],
+) -> None:
+    logs.event(
+        "slots-lent",
+        region=shard[0],
+        service=shard[1],
+        lent=[f"{to}:{sum(lent[to].values())}" for to in lent],
+        loads=[f"{name}:{load.slots:g}/{load.demand or 0:.1f}" for name, load in loads.items()],
+    )
--- /dev/null
+++ b/src/carobhook/transport/slot_allocator.py
@@ -0,0 +1,210 @@
+"""Routes messages about slots between requests, local dispatchers and other instances."""
+
+import typing
+from collections.abc import Callable, Mapping
+
+from twisted.internet import defer
+
+from carobhook import logs
+from carobhook.coordination import catalog, membership, steering
+from carobhook.protocol import slot_messages
+from carobhook.state import allocation, codes, ids
+from carobhook.transport import shard_dispatchers, slot_client
+
+_LOAN_INTERVAL_S = 0.5
+
+_CODES = {code.number: code for code in codes.Code}
+
+
+class PeerSender(typing.Protocol):
+    """Sends messages to other instances."""
+
+    def send(self, name: ids.InstanceId, message: typing.Any) -> bool:
+        """Send a message to an instance; return False if there is no stream to it."""
+
+
+class SlotAllocator:
+    """Allocates slots to this instance's requests, and dispatches for the shards it owns.
+
+    It tracks which instance owns each shard, so that requests go to the right dispatcher.
+
+    Args:
+        reactor: Source of time and timers.
+        own: Name of this instance.
+        regions: Regions by failure domain.
+        members: Table of the live instances.
+        server_catalog: Servers and configuration.
+        orders: Operators' orders in force.
+        peers: Sends messages to other instances.
+        limits: Limits on what all instances together send.
+        visible: Returns the fraction of a region's recently known instances that are live.
+    """
+
+    def __init__(
+        self,
+        reactor: typing.Any,
+        own: ids.InstanceId,
+        regions: Mapping[ids.FailureDomain, ids.Region],
+        members: membership.Membership,
+        server_catalog: catalog.Catalog,
+        orders: steering.Steering,
+        peers: PeerSender,
+        limits: shard_dispatchers.SlotLimits,
+        visible: Callable[[ids.Region], float],
+    ) -> None:
+        self._reactor = reactor
+        self._own = own
+        self._regions = regions
+        self._members = members
+        self._catalog = server_catalog
+        self._peers = peers
+        self._owners: dict[slot_client.Shard, ids.InstanceId | None] = {}
+        self._loans_updated_at = 0.0
+        self._client = slot_client.SlotClient(
+            reactor, self._owner_of, self._send, self.update_owners
+        )
+        self._dispatchers = shard_dispatchers.ShardDispatchers(
+            reactor,
+            own,
+            regions,
+            server_catalog,
+            orders,
+            limits,
+            self._owner_of,
+            self._send,
+            self._live,
+            visible,
+        )
+
+    @property
+    def pending_count(self) -> int:
+        """Return the number of this instance's pending slot requests."""
+        return self._client.pending_count
+
+    def request_slot(
+        self, request: allocation.SlotRequest, region: ids.Region
+    ) -> defer.Deferred:
+        """Request a slot; the result fires with `SlotGrant` or `SlotRefusal`.
+
+        Cancelling the result withdraws the request.
+
+        Args:
+            request: The slot request.
+            region: Region whose dispatcher decides it.
+        """
+        return self._client.request_slot(request, region)
+
+    def release_slot(
+        self, request_id: ids.RequestId, outcome: allocation.AttemptOutcome
+    ) -> None:
+        """Return a granted slot to its dispatcher, with the outcome of the attempt.
+
+        Args:
+            request_id: Id of the slot request.
+            outcome: How the attempt ended.
+        """
+        self._client.release_slot(request_id, outcome)
+
+    def loads(self) -> list[slot_messages.ShardLoad]:
+        """Return the loads of the shards that this instance owns."""
+        return self._dispatchers.loads()
+
+    def update_owners(self) -> None:
+        """Determine the owner of each known shard again, and apply the changes."""
+        serving = self._members.serving(self._reactor.seconds())
+        for shard, before in list(self._owners.items()):
+            owner = membership.shard_owner(*shard, serving)
+            if owner != before:
+                self._owners[shard] = owner
+                self._apply_owner_change(shard, before, owner)
+
+    def update_servers(self) -> None:
+        """Update all dispatchers after a change of servers, configuration or orders."""
+        self._dispatchers.update_servers()
+
+    def remove_instance(self, name: ids.InstanceId) -> None:
+        """Free the slots of an instance that died or restarted."""
+        self._dispatchers.remove_instance(name)
+
+    def tick(self) -> None:
+        """Decide on queued requests, and update owners and loans at intervals."""
+        now = self._reactor.seconds()
+        elapsed_s = now - self._loans_updated_at
+        if elapsed_s >= _LOAN_INTERVAL_S:
+            self._loans_updated_at = now
+            self.update_owners()
+            self._start_dispatchers()
+            self._dispatchers.update_loans(elapsed_s, now)
+        self._dispatchers.tick(now)
+
+    def handle_message(self, sender: ids.InstanceId, message: typing.Any) -> None:
+        """Pass a message about slots to the client or the dispatchers."""
+        if isinstance(message, slot_messages.SlotRequested):
+            self._dispatchers.handle_request(sender, message)
+        elif isinstance(message, slot_messages.SlotRequestWithdrawn):
+            self._dispatchers.handle_withdrawal(message)
+        elif isinstance(message, slot_messages.SlotReleased):
+            self._dispatchers.handle_release(message)
+        elif isinstance(message, slot_messages.SlotGranted):
+            self._client.handle_grant(sender, message.grant)
+        elif isinstance(message, slot_messages.SlotRefused):
+            self._client.handle_refusal(_refusal(sender, message))
+        elif isinstance(message, slot_messages.NotDispatcher):
+            self._client.handle_not_dispatcher(message.ask_id)
+        elif isinstance(message, slot_messages.HeldSlotsQuery):
+            self._send(sender, self._client.held_slots((message.region, message.service)))
+        elif isinstance(message, slot_messages.HeldSlotsReport):
+            self._dispatchers.handle_held_slots(sender, message)
+        elif isinstance(message, slot_messages.RegionReport):
+            self._dispatchers.handle_region_report(message)
+
+    def _send(self, to: ids.InstanceId, message: typing.Any) -> bool:
+        """Send a message to an instance, which may be this one."""
+        if to == self._own:
+            self.handle_message(self._own, message)
+            return True
+        return self._peers.send(to, message)
+
+    def _live(self) -> list[ids.InstanceId]:
+        return [member.name for member in self._members.live(self._reactor.seconds())]
+
+    def _owner_of(self, shard: slot_client.Shard) -> ids.InstanceId | None:
+        if shard not in self._owners:
+            serving = self._members.serving(self._reactor.seconds())
+            self._owners[shard] = membership.shard_owner(*shard, serving)
+        return self._owners[shard]
+
+    def _apply_owner_change(
+        self,
+        shard: slot_client.Shard,
+        before: ids.InstanceId | None,
+        owner: ids.InstanceId | None,
+    ) -> None:
+        logs.event(
+            "dispatcher-changed", region=shard[0], service=shard[1], before=before, now=owner
+        )
+        if before == self._own:
+            self._dispatchers.hand_over(shard)
+        if owner == self._own:
+            self._dispatchers.get_or_create(shard)
+        if owner is not None:
+            self._client.switch_owner(shard, owner)
+
+    def _start_dispatchers(self) -> None:
+        """Start a dispatcher for each shard that this instance owns."""
+        config = self._catalog.config
+        if config is None:
+            return
+        for region in set(self._regions.values()):
+            for service in config.services:
+                if self._owner_of((region, service)) == self._own:
+                    self._dispatchers.get_or_create((region, service))
+
+
+def _refusal(
+    sender: ids.InstanceId, message: slot_messages.SlotRefused
+) -> allocation.SlotRefusal:
+    code = _CODES.get(message.code, codes.Code.NO_BACKEND)
+    return allocation.SlotRefusal(
+        message.ask_id, code, message.retry_after_s, f"{sender}: {message.detail}"
+    )
