--- a/src/carobhook/transport/client_connections.py
+++ b/src/carobhook/transport/client_connections.py
@@ -1,4 +1,4 @@
-"""Connections of clients: reads requests one at a time and writes whole answers."""
+"""Connections of clients: reads one request at a time and writes complete responses."""
 
 import typing
 from collections.abc import Callable
@@ -11,9 +11,10 @@
 from carobhook.protocol import http1
 from carobhook.state import routing
 
-# What may wait of requests that a client sent ahead of their turn.
-_MAX_AHEAD_OCTETS = 64 * 1024
-# Time for a client to read a refusal before the connection is reset under unread data.
+# Reading pauses when more than this is buffered of requests that a client has pipelined.
+_MAX_PIPELINED_BYTES = 64 * 1024
+# Delay before a connection is closed after an error response. Closing it with unread data
+# resets it, and a client that has not read the response by then loses it.
 _LINGER_S = 1.0
 _REASONS = {
     400: b"Bad Request",
@@ -30,26 +31,26 @@
 
 @attrs.frozen
 class Inbound:
-    """A client's whole request.
+    """A complete request of a client.
 
     Attributes:
         head: Request line and headers.
-        body: Body.
+        body: Request body.
         client: Address of the client's host.
-        began_at: Monotonic time in seconds at which its head was whole.
+        received_at: Monotonic time in seconds at which its head was complete.
     """
 
     head: http1.RequestHead
     body: bytes
     client: str
-    began_at: float
+    received_at: float
 
 
 class Exchange(typing.Protocol):
-    """What handles one request."""
+    """A request that a handler has not responded to yet."""
 
     def client_gone(self) -> None:
-        """Take note that the client has closed its connection."""
+        """Report that the client's connection was closed."""
 
 
 Handler = Callable[[Inbound, Callable[[http1.Response], None]], Exchange | None]
@@ -58,7 +59,13 @@
 def own_answer(
     status: int, text: str = "", headers: tuple[tuple[bytes, bytes], ...] = ()
 ) -> http1.Response:
-    """Return an answer that this instance gives by itself."""
+    """Return a response that this process generates itself.
+
+    Args:
+        status: HTTP status.
+        text: Text of the body, without the line end; empty for no body.
+        headers: Headers of the response.
+    """
     body = text.encode() + b"\n" if text else b""
     return http1.Response(status, _REASONS.get(status, b"OK"), headers, body)
 
@@ -69,50 +76,50 @@
     def __init__(self, listener: "ClientListener") -> None:
         self._listener = listener
         self._reactor = listener.reactor
-        self._pending = bytearray()
+        self._buffer = bytearray()
         self._parser: h11.Connection | None = None
         self._head: http1.RequestHead | None = None
-        self._body: list[bytes] = []
-        self._body_octets = 0
-        self._began_at = 0.0
-        self._exchange: Exchange | None = None
+        self._body_chunks: list[bytes] = []
+        self._body_size = 0
+        self._received_at = 0.0
+        self._active_exchange: Exchange | None = None
         self._busy = False
         self._closing = False
         self._timer: typing.Any = None
-        self._head_timer = False
-        self._with_body = True
-        self._wants_close = False
+        self._reading_head = False
+        self._response_has_body = True
+        self._close_requested = False
 
     @property
     def idle(self) -> bool:
-        """Return whether no request is being read or answered."""
-        return not self._busy and self._parser is None and not self._pending
+        """Return whether no request is being read or handled."""
+        return not self._busy and self._parser is None and not self._buffer
 
     def connectionMade(self) -> None:
-        """Begin to wait for the first request."""
+        """Register the connection and start its idle timer."""
         self.transport.setTcpNoDelay(True)
-        self._listener.opened(self)
-        self._wait(self._listener.limits().idle_timeout_s)
+        self._listener.add_connection(self)
+        self._start_timer(self._listener.limits().idle_timeout_s)
 
     def connectionLost(self, reason: typing.Any = protocol.connectionDone) -> None:
-        """Tell who handles the present request that its client is gone."""
+        """Remove the connection and report to the handler of its request that it was closed."""
         self._stop_timer()
         self._release_body()
-        self._listener.closed(self)
-        exchange, self._exchange = self._exchange, None
+        self._listener.remove_connection(self)
+        exchange, self._active_exchange = self._active_exchange, None
         if exchange is not None:
             exchange.client_gone()
 
     def dataReceived(self, data: bytes) -> None:
-        """Take in octets of requests."""
+        """Parse or buffer received bytes."""
         if self._closing:
             return
         if self._parser is not None:
-            self._feed(data)
+            self._parse(data)
             return
-        self._pending += data
+        self._buffer += data
         if self._busy:
-            if len(self._pending) > _MAX_AHEAD_OCTETS:
+            if len(self._buffer) > _MAX_PIPELINED_BYTES:
                 self.transport.pauseProducing()
             return
         self._read_head()
@@ -124,156 +131,158 @@
         self.transport.abortConnection()
 
     def close_if_idle(self) -> None:
-        """Close the connection unless it carries a request."""
+        """Close the connection if no request is being read or handled."""
         if self.idle:
             self.transport.loseConnection()
 
     def _read_head(self) -> None:
-        """Begin with the next request when its head is whole."""
+        """Start to parse the next request if its head is complete."""
         limits = self._listener.limits()
-        while self._pending[:2] == b"\r\n":
-            del self._pending[:2]
-        if not self._pending:
+        while self._buffer[:2] == b"\r\n":
+            del self._buffer[:2]
+        if not self._buffer:
             return
-        length = http1.head_length(self._pending)
-        if length > limits.max_header_bytes or (
-            not length and len(self._pending) > limits.max_header_bytes
+        head_size = http1.head_length(self._buffer)
+        if head_size > limits.max_header_bytes or (
+            not head_size and len(self._buffer) > limits.max_header_bytes
         ):
-            self._refuse(431, "request headers are too large")
+            self._reject(431, "request headers are too large")
             return
-        if not length:
-            if b"\n" in self._pending and b"\r\n" not in self._pending:
-                self._refuse(400, "line ends must be CR LF")
-            elif not self._head_timer:
-                self._wait(limits.header_timeout_s, in_head=True)
+        if not head_size:
+            if b"\n" in self._buffer and b"\r\n" not in self._buffer:
+                self._reject(400, "line ends must be CR LF")
+            elif not self._reading_head:
+                self._start_timer(limits.header_timeout_s, in_head=True)
             return
-        data = bytes(self._pending)
-        self._pending.clear()
+        data = bytes(self._buffer)
+        self._buffer.clear()
         try:
-            http1.check_head(data[:length])
-        except http1.HeadError as problem:
-            self._refuse(problem.status, str(problem))
+            http1.check_head(data[:head_size])
+        except http1.HeadError as error:
+            self._reject(error.status, str(error))
             return
         self._stop_timer()
-        self._began_at = self._reactor.seconds()
+        self._received_at = self._reactor.seconds()
         self._parser = http1.request_parser()
-        self._feed(data)
+        self._parse(data)
 
-    def _feed(self, data: bytes) -> None:
-        """Give octets of the present request to its parser."""
+    def _parse(self, data: bytes) -> None:
+        """Parse received bytes of the current request."""
         parser = typing.cast(h11.Connection, self._parser)
         try:
             parser.receive_data(data)
             while True:
                 event = parser.next_event()
-                if not self._take(event):
+                if not self._handle_event(event):
                     return
-        except h11.RemoteProtocolError as problem:
-            self._refuse(400, str(problem))
+        except h11.RemoteProtocolError as error:
+            self._reject(400, str(error))
 
-    def _take(self, event: typing.Any) -> bool:
-        """Take in one event of the parser; tell whether to ask for the next."""
+    def _handle_event(self, event: typing.Any) -> bool:
+        """Handle an event of the parser; return whether to get the next one."""
         if isinstance(event, h11.Request):
             self._head = http1.RequestHead(
                 event.method, event.target, tuple(event.headers.raw_items())
             )
             limits = self._listener.limits()
             if http1.declared_length(self._head) > limits.max_body_bytes:
-                self._refuse(413, "request body is too large")
+                self._reject(413, "request body is too large")
                 return False
             if (self._head.get("expect") or "").lower() == "100-continue":
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-            self._wait(self._listener.body_timeout_s)
+            self._start_timer(self._listener.body_timeout_s)
             return True
         if isinstance(event, h11.Data):
-            self._body_octets += len(event.data)
-            if self._body_octets > self._listener.limits().max_body_bytes:
-                self._refuse(413, "request body is too large")
+            self._body_size += len(event.data)
+            if self._body_size > self._listener.limits().max_body_bytes:
+                self._reject(413, "request body is too large")
                 return False
-            if not self._listener.hold(len(event.data)):
-                self._body_octets -= len(event.data)
-                self._refuse(503, "too many request bodies are waiting", retry=True)
+            if not self._listener.reserve_body(len(event.data)):
+                self._body_size -= len(event.data)
+                self._reject(503, "too many request bodies are waiting", retry=True)
                 return False
-            self._body.append(bytes(event.data))
+            self._body_chunks.append(bytes(event.data))
             return True
         if isinstance(event, h11.EndOfMessage):
-            self._whole()
+            self._handle_request()
         return False
 
-    def _whole(self) -> None:
-        """Hand the whole request over."""
+    def _handle_request(self) -> None:
+        """Pass the complete request to the handler."""
         parser = typing.cast(h11.Connection, self._parser)
-        self._pending += parser.trailing_data[0]
+        self._buffer += parser.trailing_data[0]
         self._parser = None
         self._stop_timer()
         self._busy = True
         head = typing.cast(http1.RequestHead, self._head)
         peer = self.transport.getPeer()
-        request = Inbound(head, b"".join(self._body), getattr(peer, "host", ""), self._began_at)
-        self._body.clear()
-        self._with_body = head.method != b"HEAD"
-        self._wants_close = _wants_close(head, parser.their_http_version)
-        exchange = self._listener.handler(request, self._answer)
+        request = Inbound(
+            head, b"".join(self._body_chunks), getattr(peer, "host", ""), self._received_at
+        )
+        self._body_chunks.clear()
+        self._response_has_body = head.method != b"HEAD"
+        self._close_requested = _requests_close(head, parser.their_http_version)
+        exchange = self._listener.handler(request, self._respond)
         if self._busy:
-            self._exchange = exchange
+            self._active_exchange = exchange
 
-    def _answer(self, answer: http1.Response) -> None:
-        """Write the answer of the present request; once for each."""
+    def _respond(self, response: http1.Response) -> None:
+        """Write the response to the current request; later calls for it are ignored."""
         if not self._busy or self.transport is None or not self.connected:
             return
         self._busy = False
-        self._exchange = None
+        self._active_exchange = None
         self._release_body()
-        closing = self._wants_close or self._listener.leaving
-        self.transport.write(http1.encode_response(answer, self._with_body, closing))
-        if closing:
+        close = self._close_requested or self._listener.leaving
+        self.transport.write(http1.encode_response(response, self._response_has_body, close))
+        if close:
             self._closing = True
             self.transport.loseConnection()
             return
-        self._wait(self._listener.limits().idle_timeout_s)
+        self._start_timer(self._listener.limits().idle_timeout_s)
         self.transport.resumeProducing()
-        if self._pending:
-            self._reactor.callLater(0, self._next)
+        if self._buffer:
+            self._reactor.callLater(0, self._read_buffered)
 
-    def _next(self) -> None:
+    def _read_buffered(self) -> None:
         if self.connected and not self._busy and self._parser is None and not self._closing:
             self._read_head()
 
-    def _refuse(self, status: int, text: str, retry: bool = False) -> None:
-        """Answer a request that was not read whole, and close the connection."""
+    def _reject(self, status: int, text: str, retry: bool = False) -> None:
+        """Respond to a request that was not read completely, and close the connection."""
         self._closing = True
         self._parser = None
         self._release_body()
-        self._body.clear()
+        self._body_chunks.clear()
         logs.event("request-unreadable", status=status, reason=text)
         headers = ((b"Retry-After", b"1"),) if retry else ()
-        answer = own_answer(status, text, headers)
-        self.transport.write(http1.encode_response(answer, True, True))
+        response = own_answer(status, text, headers)
+        self.transport.write(http1.encode_response(response, True, True))
         self._stop_timer()
         self._timer = self._reactor.callLater(_LINGER_S, self.transport.loseConnection)
 
     def _release_body(self) -> None:
-        self._listener.release(self._body_octets)
-        self._body_octets = 0
+        self._listener.release_body(self._body_size)
+        self._body_size = 0
 
-    def _wait(self, delay_s: float, in_head: bool = False) -> None:
+    def _start_timer(self, delay_s: float, in_head: bool = False) -> None:
         self._stop_timer()
-        self._head_timer = in_head
-        self._timer = self._reactor.callLater(delay_s, self._overdue)
+        self._reading_head = in_head
+        self._timer = self._reactor.callLater(delay_s, self._on_timeout)
 
     def _stop_timer(self) -> None:
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
         self._timer = None
 
-    def _overdue(self) -> None:
+    def _on_timeout(self) -> None:
         if self.idle:
             self.transport.loseConnection()
         else:
-            self._refuse(408, "the request did not arrive in time")
+            self._reject(408, "the request did not arrive in time")
 
 
-def _wants_close(head: http1.RequestHead, version: bytes | None) -> bool:
+def _requests_close(head: http1.RequestHead, version: bytes | None) -> bool:
     tokens = {token.strip().lower() for token in (head.get("connection") or "").split(",")}
     if version == b"1.0":
         return "keep-alive" not in tokens
@@ -281,17 +290,17 @@
 
 
 class ClientListener(protocol.Factory):
-    """Owns the connections of clients.
+    """Accepts and tracks the connections of clients.
 
     Args:
         reactor: Source of time and timers.
-        handler: Called with each whole request and a function that answers it once.
-        limits: Returns the bounds on clients in force.
-        max_connections: Most connections at one time.
-        max_held_octets: Most octets of request bodies at one time.
+        handler: Called with each complete request and a function that responds to it once.
+        limits: Returns the current limits on clients' requests and connections.
+        max_connections: Maximum number of connections.
+        max_buffered_bytes: Maximum size of all request bodies in memory, in bytes.
 
     Attributes:
-        leaving: Whether each answer closes its connection.
+        leaving: Whether connections are closed after their next response.
     """
 
     noisy = False
@@ -303,15 +312,15 @@
         handler: Handler,
         limits: Callable[[], routing.ClientLimits],
         max_connections: int,
-        max_held_octets: int,
+        max_buffered_bytes: int,
     ) -> None:
         self.reactor = reactor
         self.handler = handler
         self.limits = limits
         self.leaving = False
         self._max_connections = max_connections
-        self._max_held_octets = max_held_octets
-        self._held_octets = 0
+        self._max_buffered_bytes = max_buffered_bytes
+        self._buffered_bytes = 0
         self._connections: set[ClientConnection] = set()
 
     @property
@@ -320,30 +329,30 @@
         return len(self._connections)
 
     def buildProtocol(self, addr: typing.Any) -> protocol.Protocol | None:
-        """Return the protocol of a new connection, or None to close one beyond the limit."""
+        """Return the protocol of a new connection, or None to close it at the limit."""
         if len(self._connections) >= self._max_connections:
             logs.warning("connections-full", limit=self._max_connections)
             return None
         return ClientConnection(self)
 
-    def opened(self, connection: ClientConnection) -> None:
-        """Count a connection."""
+    def add_connection(self, connection: ClientConnection) -> None:
+        """Add an open connection."""
         self._connections.add(connection)
 
-    def closed(self, connection: ClientConnection) -> None:
-        """Forget a connection."""
+    def remove_connection(self, connection: ClientConnection) -> None:
+        """Remove a closed connection."""
         self._connections.discard(connection)
 
-    def hold(self, octets: int) -> bool:
-        """Take room for a part of a body; tell whether there was room."""
-        if self._held_octets + octets > self._max_held_octets:
+    def reserve_body(self, size: int) -> bool:
+        """Reserve memory for a part of a request body; return whether the limit allows it."""
+        if self._buffered_bytes + size > self._max_buffered_bytes:
             return False
-        self._held_octets += octets
+        self._buffered_bytes += size
         return True
 
-    def release(self, octets: int) -> None:
-        """Give back the room of a body."""
-        self._held_octets -= octets
+    def release_body(self, size: int) -> None:
+        """Release the memory reserved for a request body."""
+        self._buffered_bytes -= size
 
     def abort(self) -> None:
         """Close all connections at once."""
@@ -351,6 +360,6 @@
             connection.abort()
 
     def close_idle(self) -> None:
-        """Close the connections that carry no request."""
+        """Close the connections on which no request is being read or handled."""
         for connection in list(self._connections):
             connection.close_if_idle()
--- a/src/carobhook/transport/entry_requests.py
+++ b/src/carobhook/transport/entry_requests.py
@@ -1,4 +1,4 @@
-"""Takes the requests of clients in: placed or refused, carried, counted and logged."""
+"""Handles the requests of clients: routes or refuses, runs, counts and logs them."""
 
 import secrets
 import typing
@@ -18,42 +18,42 @@
     slot_desk,
 )
 
-_POISON_RETRY_S = 10.0
+_QUARANTINE_RETRY_S = 10.0
 
-Answer = Callable[[http1.Response], None]
+Responder = Callable[[http1.Response], None]
 
 
 @attrs.frozen
 class RequestPorts:
-    """What requests need of the rest of an instance.
+    """Parts of an instance that the handling of requests uses.
 
     Attributes:
-        known: Servers and configuration.
+        server_catalog: Servers and configuration.
         orders: Operators' orders in force.
-        desk: Where slots are asked for.
-        servers: Connections to servers.
+        allocator: Requests and releases slots.
+        servers: Connections to backend servers.
         metrics: Counters and histograms.
         broadcast: Sends a message to all other instances.
     """
 
-    known: catalog.Catalog
+    server_catalog: catalog.Catalog
     orders: steering.Steering
-    desk: slot_desk.SlotDesk
+    allocator: slot_desk.SlotDesk
     servers: server_connections.ServerConnections
     metrics: entry_metrics.EntryMetrics
     broadcast: Callable[[typing.Any], object]
 
 
 class EntryRequests:
-    """Owns the requests that this instance has in hand.
+    """Handles the requests of this instance's clients.
 
     Args:
         reactor: Source of time and timers.
         own: Name of this instance.
-        region: Its region.
-        domain: Its failure domain.
-        incarnation: Id of this run.
-        ports: What requests need of the rest of the instance.
+        region: Region of this instance.
+        domain: Failure domain of this instance.
+        incarnation: Id of this run of the instance.
+        context: Parts of the instance that the handling uses.
     """
 
     def __init__(
@@ -63,135 +63,143 @@
         region: ids.Region,
         domain: ids.FailureDomain,
         incarnation: ids.Incarnation,
-        ports: RequestPorts,
+        context: RequestPorts,
     ) -> None:
         self._reactor = reactor
         self._domain = domain
         self._incarnation = incarnation
-        self._ports = ports
-        self._router = request_routing.RequestRouter(region, ports.orders)
-        self._wire = requests.ServerCodec()
+        self._context = context
+        self._router = request_routing.RequestRouter(region, context.orders)
+        self._codec = requests.ServerCodec()
         self._quarantine = poison.Quarantine(own)
-        self._flows: set[request_flow.RequestFlow] = set()
-        self._taken = 0
+        self._active_flows: set[request_flow.RequestFlow] = set()
+        self._accepted_count = 0
 
     @property
     def in_flight(self) -> int:
-        """Return how many requests wait or run."""
-        return len(self._flows)
+        """Return the number of requests that wait for a slot or run."""
+        return len(self._active_flows)
 
     def take(
-        self, inbound: client_connections.Inbound, answer: Answer
+        self, request: client_connections.Inbound, respond: Responder
     ) -> client_connections.Exchange | None:
-        """Take a request in; the answer is given once, now or later.
+        """Handle a request and respond to it exactly once, now or later.
 
         Args:
-            inbound: The request.
-            answer: Answers its client.
+            request: The request.
+            respond: Sends the response to the client.
+
+        Returns:
+            The running request, or None if it was refused at once.
         """
         try:
-            call = client_api.parse_service_call(inbound.head)
-            placed = self._place(inbound, call)
-        except ValueError as problem:
+            call = client_api.parse_service_call(request.head)
+            decision = self._route(request, call)
+        except ValueError as error:
             call = None
-            placed = refusals.Refusal(codes.Code.BAD_REQUEST, detail=str(problem))
+            decision = refusals.Refusal(codes.Code.BAD_REQUEST, detail=str(error))
         if call is not None:
-            inbound = attrs.evolve(inbound, head=call.head)
-            answer = _telling(answer)
-        if not isinstance(placed, refusals.Refusal) and self._is_poison(inbound):
-            placed = refusals.Refusal(codes.Code.POISONED, retry_after_s=_POISON_RETRY_S)
-        if isinstance(placed, refusals.Refusal):
+            request = attrs.evolve(request, head=call.head)
+            respond = _with_ok_headers(respond)
+        if not isinstance(decision, refusals.Refusal) and self._is_quarantined(request):
+            decision = refusals.Refusal(codes.Code.POISONED, retry_after_s=_QUARANTINE_RETRY_S)
+        if isinstance(decision, refusals.Refusal):
             logs.event(
                 "request-refused",
-                request=requests.request_id(inbound.head),
-                status=placed.status,
-                code=placed.code.number,
-                detail=placed.detail,
+                request=requests.request_id(request.head),
+                status=decision.status,
+                code=decision.code.number,
+                detail=decision.detail,
             )
-            answer(request_flow.refusal_answer(placed))
+            respond(request_flow.refusal_response(decision))
             return None
-        flow = self._flow(self._accepted(inbound, placed), answer)
-        self._flows.add(flow)
+        flow = self._create_flow(self._accept(request, decision), respond)
+        self._active_flows.add(flow)
         flow.start()
         return flow
 
     def marked(self, message: slot_messages.RequestMarked) -> None:
-        """Take in that servers broke at another instance while they ran a request.
+        """Add the mark of a request that broke a server's connection at another instance.
 
-        News is passed on, as not every instance has a stream to every other.
+        A mark that is new here is forwarded, because not every instance has a stream to every
+        other.
         """
         expires_at = self._reactor.seconds() + message.remaining_ms / 1000
         mark = poison.Mark(message.fingerprint, message.name, message.source, expires_at)
         if self._quarantine.add(mark):
-            self._ports.broadcast(message)
+            self._context.broadcast(message)
 
     def cleared(self, message: slot_messages.RequestCleared) -> None:
-        """Take in that a marked request was answered at another instance, and pass it on."""
+        """Clear the marks of a request that was answered at another instance.
+
+        The message is forwarded if there were any, because not every instance has a stream to
+        every other.
+        """
         if self._quarantine.clear(message.fingerprint):
-            self._ports.broadcast(message)
+            self._context.broadcast(message)
 
-    def _place(
-        self, inbound: client_connections.Inbound, call: client_api.ServiceCall | None
+    def _route(
+        self, request: client_connections.Inbound, call: client_api.ServiceCall | None
     ) -> request_routing.RoutingDecision | refusals.Refusal:
-        """Return where a request goes.
+        """Return the routing decision for a request, or a refusal.
 
         Raises:
-            ValueError: A header holds no number.
+            ValueError: A header that must hold a number does not.
         """
-        config = self._ports.known.config
+        config = self._context.server_catalog.config
         if call is not None:
-            return self._router.route_call(config, call, inbound.began_at)
-        head = inbound.head
+            return self._router.route_call(config, call, request.received_at)
+        head = request.head
         path = head.target.partition(b"?")[0].decode("latin-1")
-        left_s = requests.time_left_s(head)
+        time_left_s = requests.time_left_s(head)
         return self._router.route_request(
-            config, head.get("host") or "", path, left_s, inbound.began_at
+            config, head.get("host") or "", path, time_left_s, request.received_at
         )
 
-    def _accepted(
-        self, inbound: client_connections.Inbound, placed: request_routing.RoutingDecision
-    ) -> request_flow.Accepted:
-        self._taken += 1
-        config = self._ports.known.config
-        return request_flow.Accepted(
-            inbound=inbound,
-            id=ids.RequestId(f"{self._incarnation[:8]}-{self._taken:x}"),
-            client_id=requests.request_id(inbound.head),
-            route=placed.route,
-            service=placed.service,
-            region=placed.region,
-            fallback=placed.fallback,
-            priority=placed.priority,
-            object_key=requests.object_key(inbound.head),
-            target_at=placed.target_at,
-            deadline_at=placed.deadline_at,
+    def _accept(
+        self, request: client_connections.Inbound, decision: request_routing.RoutingDecision
+    ) -> request_flow.AcceptedRequest:
+        self._accepted_count += 1
+        config = self._context.server_catalog.config
+        return request_flow.AcceptedRequest(
+            request=request,
+            id=ids.RequestId(f"{self._incarnation[:8]}-{self._accepted_count:x}"),
+            client_id=requests.request_id(request.head),
+            route=decision.route,
+            service=decision.service,
+            region=decision.region,
+            fallback=decision.fallback,
+            priority=decision.priority,
+            object_key=requests.object_key(request.head),
+            target_at=decision.target_at,
+            deadline_at=decision.deadline_at,
             config_version=config.version if config is not None else 0,
             domain=self._domain,
         )
 
-    def _flow(
-        self, accepted: request_flow.Accepted, answer: Answer
+    def _create_flow(
+        self, accepted: request_flow.AcceptedRequest, respond: Responder
     ) -> request_flow.RequestFlow:
         flow = request_flow.RequestFlow(
             self._reactor,
             accepted,
-            self._ports.desk,
-            self._ports.servers,
-            self._wire,
-            answer,
-            self._told,
-            lambda: self._flows.discard(flow),
-            self._broke,
-            self._ports.known.is_usable,
+            self._context.allocator,
+            self._context.servers,
+            self._codec,
+            respond,
+            self._record_outcome,
+            lambda: self._active_flows.discard(flow),
+            self._mark_broken,
+            self._context.server_catalog.is_usable,
         )
         return flow
 
-    def _told(self, outcome: request_flow.Outcome) -> None:
-        """Count and log what a client got."""
+    def _record_outcome(self, outcome: request_flow.RequestOutcome) -> None:
+        """Record the outcome of a request in the metrics and the log."""
         accepted, refusal = outcome.accepted, outcome.refusal
         if refusal is None:
             self._clear_marks(accepted)
-        self._count(outcome)
+        self._update_metrics(outcome)
         logs.event(
             "request-ended",
             request=accepted.client_id,
@@ -201,63 +209,72 @@
             code=refusal.code.number if refusal is not None else codes.Code.OK.number,
             server=outcome.server,
             detail=refusal.detail if refusal is not None else "",
-            sends=outcome.sends,
+            sends=outcome.attempts,
             config=f"{accepted.config_version:08x}",
-            waited_ms=round(outcome.waited_s * 1000, 1),
+            waited_ms=round(outcome.slot_wait_s * 1000, 1),
             total_ms=round(outcome.total_s * 1000, 1),
         )
 
-    def _count(self, outcome: request_flow.Outcome) -> None:
+    def _update_metrics(self, outcome: request_flow.RequestOutcome) -> None:
         metric, service = entry_metrics.EntryMetric, outcome.accepted.service
         code = outcome.refusal.code if outcome.refusal is not None else codes.Code.OK
-        metrics = self._ports.metrics
+        metrics = self._context.metrics
         metrics.count(metric.REQUESTS, service, str(code.number))
         metrics.observe(metric.REQUEST_TIME, outcome.total_s, service)
-        metrics.observe(metric.SLOT_WAIT, outcome.waited_s, service)
-        for _ in range(1, outcome.sends):
+        metrics.observe(metric.SLOT_WAIT, outcome.slot_wait_s, service)
+        for _ in range(1, outcome.attempts):
             metrics.count(metric.REPEATS, service)
 
-    # Requests that break servers.
+    # Quarantine of requests that break the connections of servers.
 
-    def _is_poison(self, inbound: client_connections.Inbound) -> bool:
+    def _is_quarantined(self, request: client_connections.Inbound) -> bool:
         if self._quarantine.is_empty:
             return False
-        return self._quarantine.is_quarantined(_fingerprint(inbound), self._reactor.seconds())
+        return self._quarantine.is_quarantined(_fingerprint(request), self._reactor.seconds())
 
-    def _broke(self, accepted: request_flow.Accepted) -> None:
-        """Mark a request that a server broke under, here and at the other instances."""
+    def _mark_broken(self, accepted: request_flow.AcceptedRequest) -> None:
+        """Mark a request whose server connection broke, here and at the other instances."""
         now = self._reactor.seconds()
-        print_ = _fingerprint(accepted.inbound)
-        mark = self._quarantine.record_failure(print_, secrets.token_hex(8), now)
-        logs.warning("request-marked", request=accepted.client_id, fingerprint=print_.hex())
-        left_ms = round((mark.expires_at - now) * 1000)
-        self._ports.broadcast(
-            slot_messages.RequestMarked(print_, mark.name, mark.source, left_ms)
+        fingerprint = _fingerprint(accepted.request)
+        mark = self._quarantine.record_failure(fingerprint, secrets.token_hex(8), now)
+        logs.warning(
+            "request-marked", request=accepted.client_id, fingerprint=fingerprint.hex()
+        )
+        remaining_ms = round((mark.expires_at - now) * 1000)
+        self._context.broadcast(
+            slot_messages.RequestMarked(fingerprint, mark.name, mark.source, remaining_ms)
         )
 
-    def _clear_marks(self, accepted: request_flow.Accepted) -> None:
-        """Forget the marks of a request that was answered."""
+    def _clear_marks(self, accepted: request_flow.AcceptedRequest) -> None:
+        """Clear the marks of an answered request, here and at the other instances."""
         if self._quarantine.is_empty:
             return
-        print_ = _fingerprint(accepted.inbound)
-        if self._quarantine.clear(print_):
-            self._ports.broadcast(slot_messages.RequestCleared(print_))
+        fingerprint = _fingerprint(accepted.request)
+        if self._quarantine.clear(fingerprint):
+            self._context.broadcast(slot_messages.RequestCleared(fingerprint))
 
 
-def _telling(answer: Answer) -> Answer:
-    """Return what answers a client of the product's own interface, with the result code."""
+def _with_ok_headers(respond: Responder) -> Responder:
+    """Return a responder that adds the OK result code to responses without a result code.
+
+    It is used for calls of the client API, whose responses all have a result code.
+    """
     headers = client_api.result_headers(codes.Code.OK, may_have_run=False)
 
-    def tell(given: http1.Response) -> None:
-        is_own = given.get(headers[0][0].decode()) is not None
-        answer(given if is_own else attrs.evolve(given, headers=(*given.headers, *headers)))
+    def respond_with_code(response: http1.Response) -> None:
+        has_code = response.get(headers[0][0].decode()) is not None
+        respond(
+            response
+            if has_code
+            else attrs.evolve(response, headers=(*response.headers, *headers))
+        )
 
-    return tell
+    return respond_with_code
 
 
-def _fingerprint(inbound: client_connections.Inbound) -> poison.Fingerprint:
-    """Return what stays the same when a client sends a request again."""
-    head = inbound.head
+def _fingerprint(request: client_connections.Inbound) -> poison.Fingerprint:
+    """Return the fingerprint of a request, which is the same when its client repeats it."""
+    head = request.head
     host = head.get("host") or ""
-    parts = (inbound.client, host, head.method.decode("latin-1"), head.target.decode("latin-1"))
-    return poison.fingerprint_of(parts, inbound.body)
+    parts = (request.client, host, head.method.decode("latin-1"), head.target.decode("latin-1"))
+    return poison.fingerprint_of(parts, request.body)
--- a/src/carobhook/transport/request_flow.py
+++ b/src/carobhook/transport/request_flow.py
@@ -1,4 +1,4 @@
-"""Carries one client's request: slot, send, answer, and another try where one is allowed."""
+"""Runs one client's request: slot request, attempts with safe retries, and response."""
 
 import enum
 import typing
@@ -13,69 +13,77 @@
 from carobhook.state import allocation, codes, ids, routing
 from carobhook.transport import client_connections, server_connections
 
-# An answer on the way to the client needs about this long; a server that is given less time
-# than the client has can still answer with its own timeout.
-_ANSWER_MARGIN_S = 0.02
-# A request with less time than this is not sent, as no server works that fast.
-_SHORTEST_WORK_S = 0.005
-# Servers that may prove unreachable before a request is refused.
-_MOST_UNREACHABLE = 4
+# Time that a response needs on its way to the client. A server is told a time left that is
+# this much shorter, so that its own timeout response still reaches the client in time.
+_RESPONSE_MARGIN_S = 0.02
+# A request with less time left than this is not sent, because no server responds that fast.
+_MIN_WORK_S = 0.005
+# Maximum number of unreachable servers after which a request is still sent to another one.
+_MAX_UNREACHABLE = 4
 
 
 class Stage(enum.Enum):
-    """How far a request has come."""
+    """Stage of a request.
+
+    WAITING: It waits for a slot.
+    RUNNING: It is being sent to a server or was sent to one.
+    ENDED: It is over, and nothing more is done for it.
+    """
 
     WAITING = "waiting"
     RUNNING = "running"
     ENDED = "ended"
 
 
-class Wire(typing.Protocol):
-    """How requests are written for servers and their answers read."""
+class RequestCodec(typing.Protocol):
+    """Encodes requests for backend servers and interprets the responses."""
 
     def build_request_head(
         self, head: http1.RequestHead, server: ids.Server, time_left_s: float
     ) -> http1.RequestHead:
-        """Return the head of a request as a server gets it."""
+        """Return the head of a request as it is sent to a server."""
 
-    def attempt_outcome(self, answer: http1.Response) -> allocation.AttemptOutcome:
-        """Return what an answer says of its server."""
+    def attempt_outcome(self, response: http1.Response) -> allocation.AttemptOutcome:
+        """Return the outcome of an attempt that a server responded to."""
 
-    def matches_attempt(self, answer: http1.Response, client_id: str | None) -> bool:
-        """Tell whether an answer is one to a client's attempt."""
+    def matches_attempt(self, response: http1.Response, client_id: str | None) -> bool:
+        """Return whether a response belongs to a client's attempt."""
 
 
-class Desk(typing.Protocol):
-    """Where slots are asked for."""
+class SlotAllocator(typing.Protocol):
+    """Requests slots from dispatchers and releases them."""
 
-    def ask(self, ask: allocation.SlotRequest, region: ids.Region) -> defer.Deferred:
-        """Ask for a slot; fires with `SlotGrant` or `SlotRefusal`; cancelling withdraws."""
+    def ask(self, request: allocation.SlotRequest, region: ids.Region) -> defer.Deferred:
+        """Request a slot from the dispatcher of a region.
 
-    def ended(self, ask_id: ids.RequestId, end: allocation.AttemptOutcome) -> None:
-        """Give a granted slot back."""
+        The result fires with `SlotGrant` or `SlotRefusal`; cancelling it withdraws the request.
+        """
+
+    def ended(self, request_id: ids.RequestId, outcome: allocation.AttemptOutcome) -> None:
+        """Release a granted slot with the outcome of the attempt."""
 
 
 @attrs.frozen
-class Accepted:
-    """A request with all that was decided when it came in.
+class AcceptedRequest:
+    """A client's request with the routing decision that was made on its arrival.
 
     Attributes:
-        inbound: The request.
-        id: Id in this instance's asks.
+        request: The client's request.
+        id: Id of the request in the slot requests of this instance.
         client_id: Id that the client gave to this attempt, or None.
-        route: Its route.
-        service: The service that is to run it.
-        region: Region whose dispatcher is asked.
-        fallback: Region that is asked if that one refuses, None for none.
+        route: Route of the request.
+        service: Service that must run the request.
+        region: Region whose dispatcher is asked for a slot first.
+        fallback: Region whose dispatcher is asked if the first one refuses, or None.
         priority: Rank of the request; 0 is the most urgent.
-        object_key: Object that it concerns, or None.
-        target_at: Monotonic time in seconds until which an answer earns its full worth.
-        deadline_at: Monotonic time in seconds of the final answer.
-        config_version: Version of the configuration by which it was placed.
+        object_key: Key of the object that the request concerns, or None.
+        target_at: Monotonic time in seconds after which a response is late and worth less.
+        deadline_at: Monotonic time in seconds by which the client gets a final response.
+        config_version: Version of the configuration that the request was routed with.
         domain: Failure domain of this instance.
     """
 
-    inbound: client_connections.Inbound
+    request: client_connections.Inbound
     id: ids.RequestId
     client_id: str | None
     route: routing.Route
@@ -91,108 +99,115 @@
 
 
 @attrs.frozen
-class Outcome:
-    """How a request ended.
+class RequestOutcome:
+    """Final outcome of a request for its client.
 
     Attributes:
         accepted: The request.
-        status: Status of the answer; 0 when the client had left.
-        refusal: What was answered in place of a server, or None.
-        server: The server that answered or had it last.
-        sends: Servers that it was sent to.
-        waited_s: Seconds until its first slot.
-        total_s: Seconds from its arrival.
+        status: HTTP status of the response; 0 if the client had disconnected.
+        refusal: Refusal that was sent in place of a server's response, or None.
+        server: Server that the request was last sent to, or None.
+        attempts: Number of attempts in which the request may have reached a server.
+        slot_wait_s: Seconds from arrival until the first slot was granted; until the end if
+            none was.
+        total_s: Seconds from arrival to the end.
     """
 
-    accepted: Accepted
+    accepted: AcceptedRequest
     status: int
     refusal: refusals.Refusal | None
     server: ids.Server | None
-    sends: int
-    waited_s: float
+    attempts: int
+    slot_wait_s: float
     total_s: float
 
 
 class RequestFlow:
-    """One request on its way; implements `client_connections.Exchange`.
+    """Processing of one request; implements `client_connections.Exchange`.
 
     Args:
         reactor: Source of time and timers.
         accepted: The request.
-        desk: Where slots are asked for.
-        servers: Connections to servers.
-        wire: How requests are written for servers.
-        answer: Answers the client; called once at most.
-        outcome: Called once with what the client got.
-        ended: Called once when nothing of the request goes on.
-        broke: Called each time that a server's connection broke under the request.
-        usable: Tells whether a server may get requests, as far as this instance knows.
+        allocator: Requests and releases slots.
+        servers: Connections to backend servers.
+        codec: Encodes requests for backend servers and interprets their responses.
+        respond: Sends the response to the client; called at most once.
+        on_outcome: Called once with the outcome for the client.
+        on_finished: Called once when nothing more is done for the request.
+        on_broken_connection: Called whenever a server's connection breaks during an attempt.
+        is_usable: Returns whether a server may get requests, as far as this instance knows.
     """
 
     def __init__(
         self,
         reactor: typing.Any,
-        accepted: Accepted,
-        desk: Desk,
+        accepted: AcceptedRequest,
+        allocator: SlotAllocator,
         servers: server_connections.ServerConnections,
-        wire: Wire,
-        answer: Callable[[http1.Response], None],
-        outcome: Callable[[Outcome], None],
-        ended: Callable[[], None],
-        broke: Callable[[Accepted], None] = lambda accepted: None,
-        usable: Callable[[ids.Server], bool] = lambda server: True,
+        codec: RequestCodec,
+        respond: Callable[[http1.Response], None],
+        on_outcome: Callable[[RequestOutcome], None],
+        on_finished: Callable[[], None],
+        on_broken_connection: Callable[[AcceptedRequest], None] = lambda accepted: None,
+        is_usable: Callable[[ids.Server], bool] = lambda server: True,
     ) -> None:
         self._reactor = reactor
         self._accepted = accepted
-        self._desk = desk
+        self._allocator = allocator
         self._servers = servers
-        self._wire = wire
-        self._answer = answer
-        self._on_outcome = outcome
-        self._on_ended = ended
-        self._broke = broke
-        self._usable = usable
+        self._codec = codec
+        self._respond = respond
+        self._on_outcome = on_outcome
+        self._on_finished = on_finished
+        self._on_broken_connection = on_broken_connection
+        self._is_usable = is_usable
         self._stage = Stage.WAITING
         self._region = accepted.region
-        self._running: defer.Deferred | None = None
-        self._avoided: frozenset[ids.Server] = frozenset()
-        self._sends = 0
-        self._unreachable = 0
+        self._task: defer.Deferred | None = None
+        self._avoided_servers: frozenset[ids.Server] = frozenset()
+        self._attempts = 0
+        self._unreachable_count = 0
         self._may_have_run = False
-        self._server: ids.Server | None = None
+        self._last_server: ids.Server | None = None
         self._first_slot_at: float | None = None
         self._timer: typing.Any = None
-        self._answered = False
-        self._reported = False
-        self._failure: server_connections.Received | None = None
+        self._responded = False
+        self._outcome_reported = False
+        self._failure_response: server_connections.Received | None = None
 
     @property
     def stage(self) -> Stage:
-        """Return how far the request has come."""
+        """Return the stage of the request."""
         return self._stage
 
     def start(self) -> None:
-        """Begin to carry the request."""
+        """Start to process the request and start its deadline timer."""
         delay_s = max(0.0, self._accepted.deadline_at - self._reactor.seconds())
-        self._timer = self._reactor.callLater(delay_s, self._overdue)
-        self._running = defer.ensureDeferred(self._run())
-        self._running.addErrback(self._stopped)
+        self._timer = self._reactor.callLater(delay_s, self._on_deadline)
+        self._task = defer.ensureDeferred(self._run())
+        self._task.addErrback(self._on_error)
 
     def client_gone(self) -> None:
-        """Stop what nobody waits for; work that may run only once goes on."""
-        self._answered = True
+        """Report that the client disconnected, and cancel the request where that is safe.
+
+        A request that must not run twice is not cancelled once it was sent to a server.
+        """
+        self._responded = True
         if self._stage is Stage.WAITING:
             self._finish(0, refusals.Refusal(codes.Code.CALLER_GONE, self._may_have_run))
             self._cancel()
         elif self._stage is Stage.RUNNING:
-            self._report(0, refusals.Refusal(codes.Code.CALLER_GONE, True))
+            self._report_outcome(0, refusals.Refusal(codes.Code.CALLER_GONE, True))
             if self._accepted.route.repeatable:
                 self._end()
                 self._cancel()
 
-    def _overdue(self) -> None:
-        """Answer at the end of the request's time."""
-        if self._answered:
+    def _on_deadline(self) -> None:
+        """Refuse the request at its deadline.
+
+        A request that must not run twice is not cancelled once it was sent to a server.
+        """
+        if self._responded:
             return
         if self._stage is Stage.WAITING:
             code = codes.Code.DEADLINE_PASSED_QUEUED
@@ -204,10 +219,11 @@
                 self._cancel()
 
     def _cancel(self) -> None:
-        if self._running is not None:
-            self._running.cancel()
+        if self._task is not None:
+            self._task.cancel()
 
-    def _stopped(self, reason: typing.Any) -> None:
+    def _on_error(self, reason: typing.Any) -> None:
+        """Log an unexpected error and refuse the request as one that may have run."""
         if reason.check(defer.CancelledError):
             return
         logs.error(
@@ -220,9 +236,9 @@
 
     async def _run(self) -> None:
         while True:
-            decision = await self._desk.ask(self._ask(), self._region)
+            decision = await self._allocator.ask(self._slot_request(), self._region)
             if isinstance(decision, allocation.SlotRefusal):
-                if self._falls_back():
+                if self._switch_to_fallback():
                     continue
                 self._refuse(
                     refusals.Refusal(
@@ -235,23 +251,26 @@
                 return
             if self._first_slot_at is None:
                 self._first_slot_at = self._reactor.seconds()
-            if not self._usable(decision.server):
-                # The dispatcher does not know yet what this instance knows.
-                self._desk.ended(self._accepted.id, allocation.AttemptOutcome.CANCELLED)
-                self._avoided |= {decision.server}
+            if not self._is_usable(decision.server):
+                # This instance has newer information on the server than the dispatcher.
+                self._allocator.ended(self._accepted.id, allocation.AttemptOutcome.CANCELLED)
+                self._avoided_servers |= {decision.server}
                 continue
-            if not await self._send(decision):
+            if not await self._attempt(decision):
                 return
 
-    def _falls_back(self) -> bool:
-        """Turn to the region that served this before an order moved it, if there is one."""
+    def _switch_to_fallback(self) -> bool:
+        """Switch to the fallback region; return whether there is one that was not asked yet.
+
+        The fallback is the region that an order moved this request away from.
+        """
         fallback = self._accepted.fallback
         if fallback is None or self._region == fallback:
             return False
         self._region = fallback
         return True
 
-    def _ask(self) -> allocation.SlotRequest:
+    def _slot_request(self) -> allocation.SlotRequest:
         accepted = self._accepted
         return allocation.SlotRequest(
             id=accepted.id,
@@ -261,183 +280,188 @@
             priority=accepted.priority,
             target_at=accepted.target_at,
             deadline_at=accepted.deadline_at,
-            repeat=self._sends > 0,
-            avoided=self._avoided,
+            repeat=self._attempts > 0,
+            avoided=self._avoided_servers,
             homes=accepted.route.homes,
             domain=accepted.domain,
         )
 
-    async def _send(self, grant: allocation.SlotGrant) -> bool:
-        """Send the request to a server; tell whether to try another one."""
+    async def _attempt(self, grant: allocation.SlotGrant) -> bool:
+        """Send the request to a server; return whether to request another slot."""
         accepted = self._accepted
-        left_s = accepted.deadline_at - self._reactor.seconds() - _ANSWER_MARGIN_S
-        if left_s < _SHORTEST_WORK_S:
-            self._desk.ended(accepted.id, allocation.AttemptOutcome.CANCELLED)
+        time_left_s = accepted.deadline_at - self._reactor.seconds() - _RESPONSE_MARGIN_S
+        if time_left_s < _MIN_WORK_S:
+            self._allocator.ended(accepted.id, allocation.AttemptOutcome.CANCELLED)
             self._refuse(
                 refusals.Refusal(codes.Code.DEADLINE_UNMEETABLE, self._may_have_run, 1.0)
             )
             return False
-        head = self._wire.build_request_head(accepted.inbound.head, grant.server, left_s)
-        self._server = grant.server
-        self._sends += 1
+        head = self._codec.build_request_head(accepted.request.head, grant.server, time_left_s)
+        self._last_server = grant.server
+        self._attempts += 1
         self._stage = Stage.RUNNING
-        careful = not accepted.route.repeatable
-        end = allocation.AttemptOutcome.CANCELLED
+        once_only = not accepted.route.repeatable
+        outcome = allocation.AttemptOutcome.CANCELLED
         try:
             received = await self._servers.exchange(
-                grant.address, head, accepted.inbound.body, careful, self._belongs
+                grant.address, head, accepted.request.body, once_only, self._matches_attempt
             )
-            end = self._wire.attempt_outcome(received.answer)
-        except server_connections.ExchangeError as problem:
-            end = self._failed(problem, grant)
+            outcome = self._codec.attempt_outcome(received.answer)
+        except server_connections.ExchangeError as error:
+            outcome = self._failed_outcome(error, grant)
             received = None
         finally:
-            self._desk.ended(accepted.id, end)
+            self._allocator.ended(accepted.id, outcome)
         if self._stage is Stage.ENDED:
             return False
-        return self._conclude(end, received, grant)
+        return self._handle_outcome(outcome, received, grant)
 
-    def _belongs(self, answer: http1.Response) -> bool:
-        return self._wire.matches_attempt(answer, self._accepted.client_id)
+    def _matches_attempt(self, response: http1.Response) -> bool:
+        return self._codec.matches_attempt(response, self._accepted.client_id)
 
-    def _failed(
-        self, problem: server_connections.ExchangeError, grant: allocation.SlotGrant
+    def _failed_outcome(
+        self, error: server_connections.ExchangeError, grant: allocation.SlotGrant
     ) -> allocation.AttemptOutcome:
-        """Return what a failed exchange says of the server."""
+        """Log a failed exchange and return the outcome of its attempt."""
         logs.event(
             "exchange-broken",
             request=self._accepted.client_id,
             server=grant.server,
-            fault=problem.fault.value,
-            reused=problem.reused,
-            error=problem,
+            fault=error.fault.value,
+            reused=error.reused,
+            error=error,
         )
-        if problem.fault is server_connections.Fault.CONNECT:
-            # Nothing arrived, so neither a bound of attempts nor the budget counts it.
-            self._sends -= 1
-            self._unreachable += 1
+        if error.fault is server_connections.Fault.CONNECT:
+            # The request reached no server, so this attempt counts neither toward the limit
+            # on attempts nor toward the retry budget.
+            self._attempts -= 1
+            self._unreachable_count += 1
             return allocation.AttemptOutcome.UNREACHABLE
         self._may_have_run = True
-        if problem.reused and problem.fault is server_connections.Fault.RESET:
-            # The server may have closed the connection before the request reached it.
+        if error.reused and error.fault is server_connections.Fault.RESET:
+            # The server may have closed the connection before the request reached it, so the
+            # other idle connections to it are not trusted either.
             self._servers.distrust(grant.address)
         return allocation.AttemptOutcome.BROKEN
 
-    def _conclude(
+    def _handle_outcome(
         self,
-        end: allocation.AttemptOutcome,
+        outcome: allocation.AttemptOutcome,
         received: server_connections.Received | None,
         grant: allocation.SlotGrant,
     ) -> bool:
-        """Answer the client, or tell that another server may be tried."""
-        if end is allocation.AttemptOutcome.ANSWERED:
-            self._pass_on(received)
+        """Respond to the client, or return True if the request is sent to another server."""
+        if outcome is allocation.AttemptOutcome.ANSWERED:
+            self._forward_response(received)
             return False
-        if end is allocation.AttemptOutcome.FAILED:
+        if outcome is allocation.AttemptOutcome.FAILED:
             self._may_have_run = True
-            self._failure = received
-        elif end is allocation.AttemptOutcome.BROKEN:
-            self._broke(self._accepted)
-        self._avoided |= {grant.server}
-        if self._may_try_again(end):
+            self._failure_response = received
+        elif outcome is allocation.AttemptOutcome.BROKEN:
+            self._on_broken_connection(self._accepted)
+        self._avoided_servers |= {grant.server}
+        if self._may_retry(outcome):
             self._stage = Stage.WAITING
             logs.event(
                 "request-retried",
                 request=self._accepted.client_id,
                 server=grant.server,
-                end=end,
-                sends=self._sends,
+                end=outcome,
+                sends=self._attempts,
             )
             return True
-        if end is allocation.AttemptOutcome.BROKEN:
+        if outcome is allocation.AttemptOutcome.BROKEN:
             self._refuse(refusals.Refusal(codes.Code.BACKEND_LOST, True))
         else:
             code = (
                 codes.Code.BACKEND_SHED
-                if end is allocation.AttemptOutcome.SHED
+                if outcome is allocation.AttemptOutcome.SHED
                 else codes.Code.NO_BACKEND
             )
             self._refuse(refusals.Refusal(code, self._may_have_run, 0.5))
         return False
 
-    def _may_try_again(self, end: allocation.AttemptOutcome) -> bool:
+    def _may_retry(self, outcome: allocation.AttemptOutcome) -> bool:
         route = self._accepted.route
-        if self._answered:
+        if self._responded:
             return False
-        if self._sends >= route.max_attempts or self._unreachable > _MOST_UNREACHABLE:
+        if self._attempts >= route.max_attempts or self._unreachable_count > _MAX_UNREACHABLE:
             return False
-        ran = end in (allocation.AttemptOutcome.FAILED, allocation.AttemptOutcome.BROKEN)
-        if ran and not route.repeatable:
+        may_have_run = outcome in (
+            allocation.AttemptOutcome.FAILED,
+            allocation.AttemptOutcome.BROKEN,
+        )
+        if may_have_run and not route.repeatable:
             return False
-        return self._accepted.deadline_at - self._reactor.seconds() > _SHORTEST_WORK_S
+        return self._accepted.deadline_at - self._reactor.seconds() > _MIN_WORK_S
 
-    def _pass_on(self, received: server_connections.Received | None) -> None:
-        answer = typing.cast(server_connections.Received, received).answer
-        if not self._answered:
-            self._answered = True
-            self._answer(answer)
-        self._finish(answer.status, None)
+    def _forward_response(self, received: server_connections.Received | None) -> None:
+        response = typing.cast(server_connections.Received, received).answer
+        if not self._responded:
+            self._responded = True
+            self._respond(response)
+        self._finish(response.status, None)
 
     def _refuse(self, refusal: refusals.Refusal) -> None:
-        if self._failure is not None and not self._answered:
-            # A server's own failure tells the client more than one of this instance.
-            self._pass_on(self._failure)
+        if self._failure_response is not None and not self._responded:
+            # A server's own failure response tells the client more than this refusal.
+            self._forward_response(self._failure_response)
             return
-        if not self._answered:
-            self._answered = True
-            self._answer(refusal_answer(refusal))
-        self._report(refusal.status, refusal)
-        keeps_running = (
+        if not self._responded:
+            self._responded = True
+            self._respond(refusal_response(refusal))
+        self._report_outcome(refusal.status, refusal)
+        still_running = (
             self._stage is Stage.RUNNING
             and refusal.code is codes.Code.DEADLINE_PASSED_RUNNING
             and not self._accepted.route.repeatable
         )
-        if not keeps_running:
+        if not still_running:
             self._end()
 
     def _finish(self, status: int, refusal: refusals.Refusal | None) -> None:
-        self._report(status, refusal)
+        self._report_outcome(status, refusal)
         self._end()
 
     def _end(self) -> None:
-        """Give the request up, once what it started is over."""
+        """Mark the request as ended, stop its timer and call `on_finished`; only once."""
         if self._stage is Stage.ENDED:
             return
         self._stage = Stage.ENDED
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
-        self._on_ended()
+        self._on_finished()
 
-    def _report(self, status: int, refusal: refusals.Refusal | None) -> None:
-        """Tell what the client got, or what came of the work after it had got an answer."""
+    def _report_outcome(self, status: int, refusal: refusals.Refusal | None) -> None:
+        """Report the outcome, or log that work ended after its outcome was reported."""
         now = self._reactor.seconds()
-        began_at = self._accepted.inbound.began_at
-        if self._reported:
+        received_at = self._accepted.request.received_at
+        if self._outcome_reported:
             logs.event(
                 "work-ended-late",
                 request=self._accepted.client_id,
-                server=self._server,
+                server=self._last_server,
                 status=status,
-                total_ms=round((now - began_at) * 1000, 1),
+                total_ms=round((now - received_at) * 1000, 1),
             )
             return
-        self._reported = True
-        slot_at = self._first_slot_at if self._first_slot_at is not None else now
+        self._outcome_reported = True
+        wait_ended_at = self._first_slot_at if self._first_slot_at is not None else now
         self._on_outcome(
-            Outcome(
+            RequestOutcome(
                 self._accepted,
                 status,
                 refusal,
-                self._server,
-                self._sends,
-                slot_at - began_at,
-                now - began_at,
+                self._last_server,
+                self._attempts,
+                wait_ended_at - received_at,
+                now - received_at,
             )
         )
 
 
-def refusal_answer(refusal: refusals.Refusal) -> http1.Response:
-    """Return the answer that tells a client of a refusal."""
+def refusal_response(refusal: refusals.Refusal) -> http1.Response:
+    """Return the response that reports a refusal to a client."""
     info = refusal.code.value
     headers = [
         (b"Content-Type", b"text/plain; charset=utf-8"),
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""Tests of whole entry instances against stand-ins of the platform, over loopback."""
+"""Tests of complete entry instances with stand-ins for the platform, over loopback."""
 
 import hashlib
 import json
@@ -60,8 +60,8 @@
 
 
 def config(version, *routes, limits=None):
-    """Return a configuration as the operators write it."""
-    told = {
+    """Return a configuration in the platform's format."""
+    default_limits = {
         "MaxHeaderBytes": 2048,
         "MaxBodyBytes": 4096,
         "HeaderTimeout": "500ms",
@@ -78,12 +78,12 @@
         "ConfigVersion": f"{version:08x}",
         "Routes": list(routes),
         "Services": [service],
-        "Limits": told | (limits or {}),
+        "Limits": default_limits | (limits or {}),
     }
 
 
 def route(prefix="/a/", kind="safe", **fields):
-    """Return a route as the operators write it."""
+    """Return a route in the platform's format."""
     return {
         "Name": f"r{prefix}{kind}",
         "Host": HOST,
@@ -100,7 +100,7 @@
 
 
 def free_ports(count):
-    """Return ports of the loopback interface that nobody listens on."""
+    """Return free loopback ports, and a Deferred that fires when they can be used."""
     ports = [
         reactor.listenTCP(0, protocol.Factory(), interface="127.0.0.1") for _ in range(count)
     ]
@@ -109,43 +109,43 @@
 
 
 class RawClient(protocol.Protocol):
-    """Collects what a connection brings."""
+    """Collects the data received on a connection."""
 
     def __init__(self):
         self.data = b""
         self.closed = defer.Deferred()
 
     def dataReceived(self, data):  # noqa: N802
-        """Collect."""
+        """Collect the data."""
         self.data += data
 
     def connectionLost(self, reason=protocol.connectionDone):  # noqa: N802
-        """Tell the end."""
+        """Report that the connection is closed."""
         self.closed.callback(None)
 
 
 class EntryCase(unittest.TestCase):
-    """Base of cases with a store, servers and instances."""
+    """Base class of tests with a store, backend servers and instances."""
 
     timeout = 30
-    servers_wanted = 2
+    server_count = 2
 
     async def setUp(self):
         """Start the stand-ins and one instance, and wait until it is ready."""
         self.store = platform_store.PlatformStoreServer(reactor, memory_store.MemoryStore())
         self.store_port = self.store.listen("127.0.0.1", 0)
         self.backends, self.ports = {}, {}
-        for number in range(self.servers_wanted):
+        for number in range(self.server_count):
             self.add_backend(f"i-{number}")
         self.store.put("config", "main", config(1, route(), route("/u/", "unsafe")))
         self.connections = server_connections.ServerConnections(reactor, 2.0)
-        self.numbers = {}
+        self.instance_ports = {}
         self.daemons = [await self.start_instance("one")]
         self.addCleanup(self.clean)
-        await self.until(lambda: self.daemons[0].phase is members.Phase.READY)
+        await self.wait_until(lambda: self.daemons[0].phase is members.Phase.READY)
 
     async def clean(self):
-        """Stop everything."""
+        """Stop the instances and the stand-ins."""
         for daemon in self.daemons:
             await daemon.stop()
         for port in [self.store_port, *self.ports.values()]:
@@ -163,7 +163,7 @@
         self.register(name, **fields)
 
     def register(self, name, state="ready", cold="0ms", zone="north-a"):
-        """Write a server's entry."""
+        """Write the store entry of a backend server."""
         address = f"127.0.0.1:{self.ports[name].getHost().port}"
         info = {"Service": "svc", "ConfigVersion": "v1", "Zone": zone, "Slots": 4}
         status = {"State": state, "SeqNo": 1, "ColdRemaining": cold}
@@ -174,45 +174,49 @@
         keys = ("http", "readiness", "directory", "peers", "metrics", "operators")
         numbers, closed = free_ports(len(keys))
         await closed
-        self.numbers[name] = dict(zip(keys, numbers, strict=True))
+        self.instance_ports[name] = dict(zip(keys, numbers, strict=True))
         text = SETTINGS.format(
             name=name,
             store=self.store_port.getHost().port,
-            seeds=", ".join(f'"127.0.0.1:{self.numbers[seed]["peers"]}"' for seed in seeds),
+            seeds=", ".join(
+                f'"127.0.0.1:{self.instance_ports[seed]["peers"]}"' for seed in seeds
+            ),
             operator_hash=hashlib.sha256(b"operator").hexdigest(),
             reader_hash=hashlib.sha256(b"reader").hexdigest(),
-            **self.numbers[name],
+            **self.instance_ports[name],
         )
         daemon = entry_daemon.EntryDaemon(entry_settings.loads(text), reactor, random.Random(1))
         await daemon.start()
         return daemon
 
-    async def until(self, holds, limit_s=8.0):
-        """Wait until something holds."""
-        give_up_at = reactor.seconds() + limit_s
-        while not holds():
-            if reactor.seconds() > give_up_at:
-                self.fail("waited in vain")
+    async def wait_until(self, condition, limit_s=8.0):
+        """Wait until a condition holds; fail after a time limit."""
+        deadline_at = reactor.seconds() + limit_s
+        while not condition():
+            if reactor.seconds() > deadline_at:
+                self.fail("the condition was not met in time")
             await task.deferLater(reactor, 0.02, lambda: None)
 
     async def request(
         self, path="/a/x", method=b"GET", body=b"", instance="one", port="http", **headers
     ):
-        """Return the answer of one request."""
-        told = {"Host": HOST, "X-Attempt-Id": "attempt", "X-Deadline-Ms": "3000"}
-        told |= {name.replace("_", "-"): value for name, value in headers.items()}
+        """Send a request and return its response."""
+        all_headers = {"Host": HOST, "X-Attempt-Id": "attempt", "X-Deadline-Ms": "3000"}
+        all_headers |= {name.replace("_", "-"): value for name, value in headers.items()}
         head = http1.RequestHead(
-            method, path.encode(), tuple((k.encode(), v.encode()) for k, v in told.items())
+            method,
+            path.encode(),
+            tuple((k.encode(), v.encode()) for k, v in all_headers.items()),
         )
-        address = f"127.0.0.1:{self.numbers[instance][port]}"
+        address = f"127.0.0.1:{self.instance_ports[instance][port]}"
         received = await self.connections.exchange(address, head, body, careful=True)
         return received.answer
 
-    async def raw(self, octets, wait_s=None):
-        """Send octets on a new connection; return it, after its end or some seconds."""
+    async def send_raw(self, data, wait_s=None):
+        """Send bytes on a new connection; return the client after its close or a delay."""
         creator = protocol.ClientCreator(reactor, RawClient)
-        client = await creator.connectTCP("127.0.0.1", self.numbers["one"]["http"])
-        client.transport.write(octets)
+        client = await creator.connectTCP("127.0.0.1", self.instance_ports["one"]["http"])
+        client.transport.write(data)
         if wait_s is None:
             await client.closed
         else:
@@ -220,24 +224,24 @@
         return client
 
     @property
-    def ran(self):
-        """Return the ids that any server ran."""
+    def started_ids(self):
+        """Return the attempt ids of all requests that any server started."""
         return [one for backend in self.backends.values() for one in backend.started_ids]
 
-    def behave(self, **fields):
-        """Change how every server works."""
+    def set_behaviour(self, **fields):
+        """Set the behaviour of every backend server."""
         for backend in self.backends.values():
             backend.behaviour = platform_server.Behaviour(**fields)
 
 
 class TestAnswers(EntryCase):
-    """What clients get."""
+    """Responses to clients."""
 
-    async def test_answer_passes_unchanged(self):
+    async def test_response_is_forwarded_unchanged(self):
         """Status, body and headers are the server's; no second Server or Date is added."""
-        answer = await self.request()
-        assert (answer.status, answer.body) == (200, b"served")
-        names = [name.lower() for name, _ in answer.headers]
+        response = await self.request()
+        assert (response.status, response.body) == (200, b"served")
+        names = [name.lower() for name, _ in response.headers]
         assert names.count(b"server") == 1
         assert b"date" not in names
         sent = next(b.heads[0] for b in self.backends.values() if b.heads)
@@ -246,64 +250,64 @@
         assert 0 < int(sent.get("x-deadline-ms")) <= 1500
 
     async def test_unknown_path_is_404(self):
-        """A path without a route is refused as such."""
-        answer = await self.request("/nothing/")
-        assert answer.status == 404
+        """A path without a route gets a 404."""
+        response = await self.request("/nothing/")
+        assert response.status == 404
 
     async def test_readiness_and_directory(self):
-        """A ready instance says so, and the directory names it."""
+        """A ready instance reports that it is ready, and the directory lists it."""
         ready = await self.request("/-/readiness", port="readiness")
-        told = await self.request(
+        found = await self.request(
             f"/-/resolve?Name={HOST}&Region=north&Zone=north-a", port="directory"
         )
         assert ready.status == 200
-        assert json.loads(told.body)["Addresses"] == [
-            f"127.0.0.1:{self.numbers['one']['http']}"
+        assert json.loads(found.body)["Addresses"] == [
+            f"127.0.0.1:{self.instance_ports['one']['http']}"
         ]
 
-    async def test_request_without_room_is_refused_at_once(self):
-        """With no server left, the refusal promises not-run and says when to come back."""
+    async def test_request_without_servers_is_refused_at_once(self):
+        """Without a server, the client gets a 503, which promises not-run, and Retry-After."""
         for name in self.backends:
             self.store.remove("servers", name)
-        await self.until(lambda: not self.daemons[0]._known.servers(reactor.seconds()))
-        began_at = reactor.seconds()
-        answer = await self.request()
-        assert answer.status == 503
-        assert float(answer.get("retry-after")) > 0
-        assert reactor.seconds() - began_at < 0.3
+        await self.wait_until(lambda: not self.daemons[0]._known.servers(reactor.seconds()))
+        started_at = reactor.seconds()
+        response = await self.request()
+        assert response.status == 503
+        assert float(response.get("retry-after")) > 0
+        assert reactor.seconds() - started_at < 0.3
 
 
 class TestAtMostOnce(EntryCase):
-    """Work that must not run twice."""
+    """Requests that must not run twice."""
 
-    async def test_reset_after_the_send_is_not_repeated(self):
-        """The server may have run it, so no other gets it, and nothing promises not-run."""
-        self.behave(reset=True)
-        answer = await self.request("/u/x", b"POST", b"order")
-        assert answer.status == 502
-        assert len(self.ran) == 1
+    async def test_request_is_not_retried_after_a_reset(self):
+        """The server may have run it, so no other gets it, and 502 does not promise not-run."""
+        self.set_behaviour(reset=True)
+        response = await self.request("/u/x", b"POST", b"order")
+        assert response.status == 502
+        assert len(self.started_ids) == 1
 
-    async def test_shed_request_goes_to_another_server(self):
-        """A server that did not run it leaves it free for the next one."""
+    async def test_shed_request_is_retried_on_another_server(self):
+        """A request that a server shed was not run, so it may be sent to another server."""
         first, second = self.backends.values()
         first.behaviour = platform_server.Behaviour(shed=True)
         statuses = [(await self.request("/u/x", b"POST", b"1")).status for _ in range(4)]
         assert statuses == [200] * 4
         assert len(second.started_ids) == 4
 
-    async def test_unreachable_server_is_left(self):
-        """A connection that cannot be opened costs the client nothing."""
+    async def test_unreachable_server_is_skipped(self):
+        """If no connection to a server can be opened, the request is sent to another one."""
         name = next(iter(self.ports))
         await self.ports[name].stopListening()
         statuses = [(await self.request("/u/x", b"POST", b"1")).status for _ in range(4)]
         assert statuses == [200] * 4
 
 
-class TestBadServers(EntryCase):
-    """Servers that lie or fail."""
+class TestFailingServers(EntryCase):
+    """Servers that fail or send invalid responses."""
 
-    async def test_safe_request_is_tried_again(self):
-        """A cut answer of one server is replaced by a whole one of another."""
+    async def test_repeatable_request_is_retried(self):
+        """After a truncated response, the request is sent to another server."""
         first, _ = self.backends.values()
         first.behaviour = platform_server.Behaviour(
             raw=b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nhalf"
@@ -311,107 +315,111 @@
         statuses = [(await self.request(X_Attempt_Id=str(n))).status for n in range(4)]
         assert statuses == [200] * 4
 
-    async def test_failure_of_every_server_is_passed_on(self):
-        """A server's own 500 reaches the client when no other server does better."""
-        self.behave(status=500, body=b"mine")
-        answer = await self.request()
-        assert (answer.status, answer.body) == (500, b"mine")
-        assert answer.get("x-instance-id") in self.backends
+    async def test_failure_of_every_server_is_forwarded(self):
+        """A server's own 500 response is forwarded if every server fails."""
+        self.set_behaviour(status=500, body=b"mine")
+        response = await self.request()
+        assert (response.status, response.body) == (500, b"mine")
+        assert response.get("x-instance-id") in self.backends
 
-    async def test_octets_behind_an_answer_reach_nobody(self):
-        """A connection that carried more than its answer is not used again."""
-        self.behave(extra=b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil")
+    async def test_bytes_after_a_response_are_discarded(self):
+        """A connection with bytes after the end of its response is not reused."""
+        self.set_behaviour(extra=b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil")
         for number in range(6):
-            answer = await self.request(X_Attempt_Id=str(number))
-            assert answer.body == b"served"
+            response = await self.request(X_Attempt_Id=str(number))
+            assert response.body == b"served"
 
-    async def test_answer_of_another_request_is_passed_over(self):
-        """A late answer in front of the right one does not reach the client."""
-        self.behave(raw=b"HTTP/1.1 200 OK\r\nX-Attempt-Id: old\r\nContent-Length: 3\r\n\r\nold")
-        answer = await self.request("/u/x", b"POST", b"1")
-        assert answer.status == 502
+    async def test_response_to_another_request_is_not_forwarded(self):
+        """A late response with the attempt id of another request does not reach the client."""
+        self.set_behaviour(
+            raw=b"HTTP/1.1 200 OK\r\nX-Attempt-Id: old\r\nContent-Length: 3\r\n\r\nold"
+        )
+        response = await self.request("/u/x", b"POST", b"1")
+        assert response.status == 502
 
-    async def test_answer_without_length_ends_with_the_connection(self):
-        """It is whole when the connection ends in order."""
-        self.behave(raw=b"HTTP/1.1 200 OK\r\n\r\nall of it")
-        answer = await self.request()
-        assert answer.body == b"all of it"
+    async def test_response_without_length_ends_with_the_connection(self):
+        """A response without a length is complete when the server closes the connection."""
+        self.set_behaviour(raw=b"HTTP/1.1 200 OK\r\n\r\nall of it")
+        response = await self.request()
+        assert response.body == b"all of it"
 
 
-class TestTimes(EntryCase):
-    """Timeouts and clients that leave."""
+class TestTimeouts(EntryCase):
+    """Timeouts, and clients that disconnect."""
 
-    async def test_timeout_of_the_route_is_answered(self):
-        """At the route's timeout the client gets 504, and the server stops its work."""
+    async def test_route_timeout_gets_504(self):
+        """At the route's timeout the client gets a 504, and the server cancels the request."""
         self.store.put("config", "main", config(2, route(Timeout="300ms")))
-        await self.until(lambda: self.daemons[0]._known.config.version == 2)
-        self.behave(work_s=5.0)
-        began_at = reactor.seconds()
-        answer = await self.request()
-        assert answer.status == 504
-        assert reactor.seconds() - began_at < 0.8
-        await self.until(lambda: sum(b.cancelled for b in self.backends.values()) == 1)
-
-    async def test_client_that_leaves_stops_the_work(self):
-        """The server's connection is closed at once for what may be repeated."""
-        self.behave(work_s=5.0)
+        await self.wait_until(lambda: self.daemons[0]._known.config.version == 2)
+        self.set_behaviour(work_s=5.0)
+        started_at = reactor.seconds()
+        response = await self.request()
+        assert response.status == 504
+        assert reactor.seconds() - started_at < 0.8
+        await self.wait_until(lambda: sum(b.cancelled for b in self.backends.values()) == 1)
+
+    async def test_client_disconnect_cancels_the_request(self):
+        """The connection to the server is closed at once if the request is repeatable."""
+        self.set_behaviour(work_s=5.0)
         head = f"GET /a/x HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: 1\r\n\r\n"
-        client = await self.raw(head.encode(), wait_s=0.3)
+        client = await self.send_raw(head.encode(), wait_s=0.3)
         client.transport.abortConnection()
-        await self.until(lambda: sum(b.cancelled for b in self.backends.values()) == 1)
+        await self.wait_until(lambda: sum(b.cancelled for b in self.backends.values()) == 1)
 
 
 class TestClients(EntryCase):
-    """What clients may send."""
+    """Validation of what clients send."""
 
-    async def test_smuggled_request_is_not_run(self):
-        """Two lengths get 400 and the connection ends."""
-        client = await self.raw(
+    async def test_smuggled_request_is_rejected(self):
+        """A request with two lengths gets a 400, and the connection is closed."""
+        client = await self.send_raw(
             b"POST /u/x HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 4\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /a/x HTTP/1.1\r\n\r\n"
         )
         assert client.data.startswith(b"HTTP/1.1 400 ")
-        assert self.ran == []
+        assert self.started_ids == []
 
-    async def test_bounds_of_the_configuration(self):
-        """Headers and bodies beyond the bounds get 431 and 413."""
-        long = await self.raw(b"GET /a/x HTTP/1.1\r\nHost: x\r\nX: " + b"y" * 3000)
-        big = await self.raw(
+    async def test_size_limits_of_the_configuration(self):
+        """Headers and bodies over the limits get a 431 and a 413."""
+        long = await self.send_raw(b"GET /a/x HTTP/1.1\r\nHost: x\r\nX: " + b"y" * 3000)
+        big = await self.send_raw(
             b"POST /u/x HTTP/1.1\r\nHost: shop.example\r\nContent-Length: 5000\r\n\r\n"
         )
         assert long.data.startswith(b"HTTP/1.1 431 ")
         assert big.data.startswith(b"HTTP/1.1 413 ")
 
-    async def test_head_that_does_not_end_is_answered(self):
-        """A client that stops in the middle of its head gets 408."""
-        client = await self.raw(b"GET /a/x HTT")
+    async def test_incomplete_head_gets_408(self):
+        """A client that stops in the middle of a request head gets a 408."""
+        client = await self.send_raw(b"GET /a/x HTT")
         assert client.data.startswith(b"HTTP/1.1 408 ")
 
-    async def test_requests_sent_ahead_are_answered_in_order(self):
-        """Two requests in one piece, one with chunks, get two answers."""
+    async def test_pipelined_requests_get_responses(self):
+        """Two requests sent at once, one of them chunked, get two responses."""
         one = (
             b"POST /u/x HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: 1\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
         )
         two = b"GET /a/x HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: 2\r\n"
-        client = await self.raw(one + two + b"Connection: close\r\n\r\n")
+        client = await self.send_raw(one + two + b"Connection: close\r\n\r\n")
         assert client.data.count(b"HTTP/1.1 200 ") == 2
-        assert sorted(self.ran) == ["1", "2"]
+        assert sorted(self.started_ids) == ["1", "2"]
 
 
 class TestStore(EntryCase):
-    """The store and what it tells."""
+    """Changes and failures of the store."""
 
-    async def test_draining_server_gets_nothing_new(self):
-        """A server that says it leaves is out of use at once."""
+    async def test_draining_server_gets_no_requests(self):
+        """A server in the draining state gets no new requests."""
         self.register("i-0", state="draining")
-        await self.until(lambda: len(self.daemons[0]._known.servers(reactor.seconds())) == 1)
+        await self.wait_until(
+            lambda: len(self.daemons[0]._known.servers(reactor.seconds())) == 1
+        )
         for _ in range(4):
             await self.request()
         assert self.backends["i-0"].started_ids == []
 
-    async def test_odd_entries_name_no_server(self):
-        """Entries of other writers are passed over, and the others hold."""
+    async def test_invalid_store_entries_are_ignored(self):
+        """Invalid entries are ignored, and the valid ones stay in use."""
         for number, spec in enumerate([None, [], "x", {"Address": 7}, {"Address": "no-port"}]):
             self.store.put("servers", f"odd-{number}", spec, {"State": "ready"})
         self.store.put("servers", "odd-state", {"Address": "1:1"}, {"State": "dancing"})
@@ -419,8 +427,8 @@
         assert (await self.request()).status == 200
         assert len(self.daemons[0]._known.servers(reactor.seconds())) == 2
 
-    async def test_requests_go_on_while_the_store_is_away(self):
-        """What was in force stays, and the calls do not become a storm."""
+    async def test_requests_succeed_while_the_store_fails(self):
+        """The last known state stays in use, and the rate of calls to the store stays low."""
         self.store.mode.refuse_status = 503
         before = len(self.store.calls)
         for _ in range(10):
@@ -429,37 +437,41 @@
         assert len(self.store.calls) - before < 40
         self.store.mode.refuse_status = 0
         self.store.put("config", "main", config(9, route()))
-        await self.until(lambda: self.daemons[0]._known.config.version == 9)
+        await self.wait_until(lambda: self.daemons[0]._known.config.version == 9)
 
-    async def test_evacuated_zone_gets_nothing(self):
-        """Its servers are out of use until the evacuation is taken back."""
+    async def test_evacuated_zone_gets_no_requests(self):
+        """The servers of an evacuated zone are not used until the evacuation is removed."""
         self.register("i-0", zone="north-b")
         self.store.put("evacuations", "north-b", {})
-        await self.until(lambda: len(self.daemons[0]._known.servers(reactor.seconds())) == 1)
+        await self.wait_until(
+            lambda: len(self.daemons[0]._known.servers(reactor.seconds())) == 1
+        )
         self.store.remove("evacuations", "north-b")
-        await self.until(lambda: len(self.daemons[0]._known.servers(reactor.seconds())) == 2)
+        await self.wait_until(
+            lambda: len(self.daemons[0]._known.servers(reactor.seconds())) == 2
+        )
 
 
 class TestTwoInstances(EntryCase):
-    """Instances that know each other."""
+    """Two instances with streams to each other."""
 
-    servers_wanted = 1
+    server_count = 1
 
     async def join(self):
         """Start a second instance and wait until both know each other."""
         self.daemons.append(await self.start_instance("two", seeds=("one",)))
         second = self.daemons[1]
-        await self.until(lambda: second.phase is members.Phase.READY)
-        await self.until(
+        await self.wait_until(lambda: second.phase is members.Phase.READY)
+        await self.wait_until(
             lambda: all(
                 len(d._streams.roster.serving(reactor.seconds())) == 2 for d in self.daemons
             )
         )
 
-    async def test_slots_are_counted_over_both(self):
+    async def test_slots_are_shared_by_both_instances(self):
         """Requests through two instances never exceed the slots of a server."""
         await self.join()
-        self.behave(work_s=0.2)
+        self.set_behaviour(work_s=0.2)
         backend = self.backends["i-0"]
         peak = []
         loop = task.LoopingCall(lambda: peak.append(len(backend.started_ids)))
@@ -472,75 +484,78 @@
         loop.start(0.02)
         await task.deferLater(reactor, 0.15, lambda: None)
         assert len(backend.started_ids) <= 4
-        answers = await defer.gatherResults(waiting)
+        responses = await defer.gatherResults(waiting)
         loop.stop()
-        assert {answer.status for answer in answers} <= {200, 503}
+        assert {response.status for response in responses} <= {200, 503}
 
     async def test_one_instance_watches_the_store_for_both(self):
-        """The other is told of changes by it, and takes over when it ends."""
+        """The watching instance forwards the changes in the store to the other one."""
         await self.join()
-        await self.until(
+        await self.wait_until(
             lambda: sorted(d._follow.direct for d in self.daemons) == [False, True]
         )
         self.store.put("config", "main", config(5, route()))
-        await self.until(lambda: all(d._known.config.version == 5 for d in self.daemons))
+        await self.wait_until(lambda: all(d._known.config.version == 5 for d in self.daemons))
 
-    async def test_leaving_instance_is_not_named(self):
-        """The directory of the other drops it at once, and its requests end whole."""
+    async def test_leaving_instance_is_not_in_the_directory(self):
+        """The directory of the other omits it at once, and its running requests complete."""
         await self.join()
-        self.behave(work_s=0.4)
+        self.set_behaviour(work_s=0.4)
         running = defer.ensureDeferred(self.request(instance="two"))
         await task.deferLater(reactor, 0.1, lambda: None)
         stopping = defer.ensureDeferred(self.daemons[1].stop())
-        await self.until(
+        await self.wait_until(
             lambda: len(self.daemons[0]._streams.roster.serving(reactor.seconds())) == 1
         )
         assert (await running).status == 200
         await stopping
 
-    async def test_instance_that_vanishes_frees_its_place(self):
-        """Without a goodbye, its slots come to the other within two seconds."""
+    async def test_slots_of_a_lost_instance_are_released(self):
+        """An instance that stops abruptly is removed, and the other gets its slots."""
         await self.join()
         await self.daemons.pop()._shut_down()
-        await self.until(
+        await self.wait_until(
             lambda: len(self.daemons[0]._streams.roster.serving(reactor.seconds())) == 1, 3.0
         )
         assert (await self.request()).status == 200
 
 
 class TestOwnInterface(EntryCase):
-    """Clients that name the service."""
+    """Calls of the client API, which name the service."""
 
     async def test_request_and_lookup(self):
-        """A service answers by its name, and the look-up says where to ask."""
-        answer = await self.request("/v1/services/svc/item?x=1")
-        assert (answer.status, answer.body) == (200, b"served")
-        assert (answer.get("carobhook-code"), answer.get("carobhook-run")) == ("1000", "ran")
+        """A service can be called by its name, and a lookup returns the instance's address."""
+        response = await self.request("/v1/services/svc/item?x=1")
+        assert (response.status, response.body) == (200, b"served")
+        assert (response.get("carobhook-code"), response.get("carobhook-run")) == (
+            "1000",
+            "ran",
+        )
         sent = next(b.heads[0] for b in self.backends.values() if b.heads)
         assert sent.target == b"/item?x=1"
         found = await self.request("/v1/lookup?region=north", port="directory")
-        http = self.numbers["one"]["http"]
+        http = self.instance_ports["one"]["http"]
         assert json.loads(found.body)["addresses"] == [f"127.0.0.1:{http}"]
 
     async def test_faults_have_codes(self):
-        """An unknown service and a header without a number are told apart."""
-        told = [
+        """An unknown service and an invalid number in a header have different codes."""
+        responses = [
             await self.request("/v1/services/nowhere/item"),
             await self.request("/v1/services/svc/item", Carobhook_Deadline_Ms="soon"),
             await self.request("/v1/services/svc/item", Carobhook_Rank="high"),
         ]
-        found = [(answer.status, answer.get("carobhook-code")) for answer in told]
+        found = [(response.status, response.get("carobhook-code")) for response in responses]
         assert found == [(404, "1054"), (400, "1002"), (400, "1002")]
-        assert not self.ran
+        assert not self.started_ids
 
 
 class TestOperators(EntryCase):
-    """Orders and questions of operators, kept in the store."""
+    """Orders, which the store keeps, and queries of operators."""
 
     async def order(self, text, token="operator", instance="one", **fields):
-        """Send an order; return status and answer."""
+        """Send an order; return the status and the decoded body of the response."""
         body = json.dumps({"id": text, "text": text, **fields}).encode()
-        answer = await self.request(
+        response = await self.request(
             "/v1/orders",
             b"POST",
             body,
@@ -548,33 +563,33 @@
             "operators",
             Authorization=f"Bearer {token}",
         )
-        return answer.status, json.loads(answer.body)
+        return response.status, json.loads(response.body)
 
     async def progress(self, version):
-        """Return how far a version is in force."""
-        answer = await self.request(
+        """Return on how many instances an order version is in force."""
+        response = await self.request(
             f"/v1/in-force/{version}", port="operators", Authorization="Bearer operator"
         )
-        return json.loads(answer.body)
+        return json.loads(response.body)
 
-    async def test_tokens_bind(self):
-        """Without a token nothing is answered; a reader may only ask."""
+    async def test_tokens_are_checked(self):
+        """An unknown token is refused, and a reader may only send queries."""
         assert (await self.order("show regions", "wrong"))[1]["code"] == 2018
         assert (await self.order("show regions", "reader"))[1]["code"] == 2002
         assert (await self.order("drain server i-0", "reader"))[1]["code"] == 2017
         assert (await self.order("drain server", "operator"))[1]["code"] == 2010
 
-    async def test_drained_server_gets_nothing(self):
-        """The order is in force within seconds, and its undoing too."""
+    async def test_drained_server_gets_no_requests(self):
+        """A drain order is in force within seconds, and so is its reversal."""
         text = "drain server i-0 emergency cap 100% per 1s"
-        status, answer = await self.order(text)
-        assert (status, answer["code"], answer["version"]) == (200, 2001, 1)
+        status, response = await self.order(text)
+        assert (status, response["code"], response["version"]) == (200, 2001, 1)
         known = self.daemons[0]._known
-        await self.until(lambda: not known.is_usable("i-0"))
-        await self.until(lambda: self.daemons[0]._orders.in_force.version == 1)
+        await self.wait_until(lambda: not known.is_usable("i-0"))
+        await self.wait_until(lambda: self.daemons[0]._orders.in_force.version == 1)
         found = await self.progress(1)
         while found["missing"]:
-            # The version goes round with the next heartbeat.
+            # The version is exchanged with the next heartbeat.
             assert found["seconds"] < 3.0
             found = await self.progress(1)
         assert (found["in_force"], found["total"]) == (1, 1)
@@ -582,42 +597,42 @@
             assert (await self.request(X_Attempt_Id=str(number))).status == 200
         assert not self.backends["i-0"].started_ids
         assert (await self.order("undrain server i-0"))[1]["version"] == 2
-        await self.until(lambda: known.is_usable("i-0"))
+        await self.wait_until(lambda: known.is_usable("i-0"))
         _, changes = await self.order("show changes")
         assert [row[4] for row in changes["rows"]] == ["undrain server i-0", text]
 
-    async def test_orders_outlast_the_instance(self):
-        """A new run takes the orders from the store."""
+    async def test_orders_survive_a_restart(self):
+        """A restarted instance loads the orders from the store."""
         await self.order("set rank 0 for route r/a/safe")
         await self.daemons.pop().stop()
         self.daemons.append(await self.start_instance("one"))
-        await self.until(lambda: self.daemons[0].phase is members.Phase.READY)
+        await self.wait_until(lambda: self.daemons[0].phase is members.Phase.READY)
         _, ranks = await self.order("show ranks")
         assert ["r/a/safe", 0, 1] in ranks["rows"]
 
-    async def test_every_question_is_answered(self):
-        """All tables, explanations and dry runs have rows."""
+    async def test_every_query_returns_rows(self):
+        """All tables, explanations and dry runs return rows."""
         await self.request()
-        questions = ["regions", "traffic", "servers", "routes", "ranks", "caps", "instances"]
+        subjects = ["regions", "traffic", "servers", "routes", "ranks", "caps", "instances"]
         for text in [
-            *(f"show {subject}" for subject in questions),
+            *(f"show {subject}" for subject in subjects),
             "explain svc for north",
             "explain region north",
             "plan shift svc from north to south by 10%",
             "plan drain failure-domain north-b",
         ]:
-            status, answer = await self.order(text)
-            assert (status, answer["code"]) == (200, 2002), (text, answer)
-            assert answer["rows"], text
-            assert all(len(row) == len(answer["columns"]) for row in answer["rows"]), text
+            status, response = await self.order(text)
+            assert (status, response["code"]) == (200, 2002), (text, response)
+            assert response["rows"], text
+            assert all(len(row) == len(response["columns"]) for row in response["rows"]), text
         _, planned = await self.order("plan drain region north at 00:00 until 23:59")
         column = planned["columns"].index("slots then")
         assert [row[column] for row in planned["rows"] if row[1] == "north"] == [0]
         assert (await self.order("show change 9"))[1]["code"] == 2011
 
-    async def test_store_away(self):
-        """An order that cannot be kept is refused, and nothing changes."""
+    async def test_order_is_refused_while_the_store_fails(self):
+        """An order that cannot be stored is refused, and nothing changes."""
         self.store.mode.refuse_status = 503
-        status, answer = await self.order("set cap 5% per 10s")
-        assert (status, answer["code"]) == (503, 2013)
+        status, response = await self.order("set cap 5% per 10s")
+        assert (status, response["code"]) == (503, 2013)
         assert self.daemons[0]._orders.in_force.version == 0
--- a/tests/test_explaining.py
+++ b/tests/test_explaining.py
@@ -71,13 +71,13 @@
         for name in self.backends:
             self.register(name, state="draining")
         known = self.daemons[0]._known
-        await self.until(lambda: not known.servers(reactor.seconds()))
+        await self.wait_until(lambda: not known.servers(reactor.seconds()))
         await self.request(X_Attempt_Id="a")
         self.check("a", codes.Code.NO_BACKEND, "servers=0")
 
     async def test_no_room(self):
         """1012 tells how many ran and waited."""
-        self.behave(work_s=1.2)
+        self.set_behaviour(work_s=1.2)
         running = [
             defer.ensureDeferred(self.request(X_Attempt_Id=f"r{number}"))
             for number in range(40)
@@ -94,35 +94,35 @@
 
     async def test_shed(self):
         """1014 after every attempt was shed."""
-        self.behave(shed=True)
+        self.set_behaviour(shed=True)
         await self.request(X_Attempt_Id="a")
         self.check("a", codes.Code.BACKEND_SHED, "2 sends")
 
     async def test_server_breaks(self):
         """1020 names the server and what its connection did."""
-        self.behave(reset=True)
+        self.set_behaviour(reset=True)
         await self.request("/u/x", method=b"POST", X_Attempt_Id="a")
         self.check("a", codes.Code.BACKEND_LOST, "i-", "reset")
 
     async def test_timeout(self):
         """1021 of work that runs on tells what came of it."""
-        self.behave(work_s=1.8)
+        self.set_behaviour(work_s=1.8)
         await self.request("/u/x", method=b"POST", X_Attempt_Id="a")
-        await self.until(lambda: any("work-ended-late" in line for line in self.log.lines))
+        await self.wait_until(lambda: any("work-ended-late" in line for line in self.log.lines))
         self.check("a", codes.Code.DEADLINE_PASSED_RUNNING, "1 sends", "with status 200")
 
     async def test_client_leaves(self):
         """1019, whether it waited or ran."""
-        self.behave(work_s=1.0)
+        self.set_behaviour(work_s=1.0)
         head = "GET /a/x HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a\r\n\r\n"
-        client = await self.raw(head.encode(), wait_s=0.2)
+        client = await self.send_raw(head.encode(), wait_s=0.2)
         client.transport.abortConnection()
-        await self.until(lambda: any('"request": "a"' in line for line in self.log.lines))
+        await self.wait_until(lambda: any('"request": "a"' in line for line in self.log.lines))
         self.check("a", codes.Code.CALLER_GONE)
 
     async def test_poison(self):
         """1030, with the marks before it."""
-        self.behave(reset=True)
+        self.set_behaviour(reset=True)
         for number in range(poison.MARK_LIMIT):
             await self.request("/u/x", method=b"POST", X_Attempt_Id=f"p{number}")
             await task.deferLater(reactor, 1.0, lambda: None)
@@ -135,7 +135,7 @@
         budget = self.daemons[0]._desk._shards.open(("north", "svc")).dispatcher.retry_budget
         for _ in range(200):
             budget.try_consume(reactor.seconds())
-        self.behave(status=500)
+        self.set_behaviour(status=500)
         answer = await self.request(X_Attempt_Id="a")
         trace = self.trace("a")
         assert answer.status == 500
--- a/tests/test_request_flow.py
+++ b/tests/test_request_flow.py
@@ -1,4 +1,4 @@
-"""Tests of carobhook.transport.request_flow: what clients and logs are told of each end."""
+"""Tests of carobhook.transport.request_flow: responses to clients, outcomes and log lines."""
 
 import json
 
@@ -14,69 +14,73 @@
 REPEATABLE = routing.Idempotency.REPEATABLE
 
 
-class Desk:
-    """Grants or refuses as a test says; keeps what it was asked and told."""
+class FakeSlotAllocator:
+    """Allocator whose decisions the test makes; records slot requests and outcomes."""
 
     def __init__(self):
-        self.asked, self.ends, self.waiting = [], [], []
+        self.requests, self.outcomes, self.pending = [], [], []
 
-    def ask(self, ask, region):
-        """Take an ask in; the test answers it."""
-        answered = defer.Deferred()
-        self.asked.append((ask, region))
-        self.waiting.append(answered)
-        return answered
+    def ask(self, request, region):
+        """Record a slot request, which the test grants or refuses."""
+        decision = defer.Deferred()
+        self.requests.append((request, region))
+        self.pending.append(decision)
+        return decision
 
     def grant(self, server="s1"):
-        """Grant the ask that waits."""
-        ask = self.asked[-1][0]
-        self.waiting.pop().callback(
-            allocation.SlotGrant(ask.id, ids.Server(server), "s:1", 0.1)
+        """Grant the pending slot request."""
+        request = self.requests[-1][0]
+        self.pending.pop().callback(
+            allocation.SlotGrant(request.id, ids.Server(server), "s:1", 0.1)
         )
 
     def refuse(self, code=codes.Code.DEADLINE_UNMEETABLE):
-        """Refuse the ask that waits."""
-        ask = self.asked[-1][0]
-        self.waiting.pop().callback(allocation.SlotRefusal(ask.id, code, 0.7, "running=4/4"))
+        """Refuse the pending slot request."""
+        request = self.requests[-1][0]
+        self.pending.pop().callback(
+            allocation.SlotRefusal(request.id, code, 0.7, "running=4/4")
+        )
 
-    def ended(self, ask_id, end):
-        """Take a slot back."""
-        self.ends.append(end)
+    def ended(self, request_id, outcome):
+        """Record the outcome with which a slot is released."""
+        self.outcomes.append(outcome)
 
 
-class Servers:
-    """Exchanges that the test ends."""
+class FakeServers:
+    """Connections to servers whose exchanges the test completes."""
 
     def __init__(self):
-        self.running = []
+        self.exchanges = []
 
-    async def exchange(self, address, head, body, careful, belongs):
-        """Wait until the test ends the exchange."""
-        self.running.append(defer.Deferred())
-        return await self.running[-1]
+    async def exchange(self, address, head, body, require_fresh, matches):
+        """Wait until the test completes the exchange."""
+        self.exchanges.append(defer.Deferred())
+        return await self.exchanges[-1]
 
-    def answer(self, status=200, **headers):
-        """Answer the exchange that runs."""
-        told = tuple((k.replace("_", "-").encode(), v.encode()) for k, v in headers.items())
-        answer = http1.Response(status, b"Status", told, b"body")
-        self.running.pop().callback(server_connections.Received(answer, told, False))
+    def respond(self, status=200, **headers):
+        """Complete the running exchange with a response."""
+        raw_headers = tuple(
+            (k.replace("_", "-").encode(), v.encode()) for k, v in headers.items()
+        )
+        response = http1.Response(status, b"Status", raw_headers, b"body")
+        self.exchanges.pop().callback(server_connections.Received(response, raw_headers, False))
 
     def fail(self, fault=server_connections.Fault.RESET):
-        """Break the exchange that runs."""
-        problem = server_connections.ExchangeError(fault, "broken", False, False)
-        self.running.pop().errback(problem)
+        """Fail the running exchange."""
+        error = server_connections.ExchangeError(fault, "broken", False, False)
+        self.exchanges.pop().errback(error)
 
     def distrust(self, address):
-        """Forget idle connections."""
+        """Do nothing, as there are no idle connections."""
 
 
-class Case:
-    """One request on its way."""
+class FlowCase:
+    """A started `RequestFlow` with fakes around it."""
 
     def __init__(self, idempotency=REPEATABLE, attempts=2, timeout_s=1.0, fallback=None):
         self.clock = task.Clock()
-        self.desk, self.servers = Desk(), Servers()
-        self.answers, self.outcomes, self.over = [], [], []
+        self.allocator, self.servers = FakeSlotAllocator(), FakeServers()
+        self.responses, self.outcomes, self.finished = [], [], []
         route = routing.Route(
             "r",
             "h",
@@ -90,7 +94,7 @@
             False,
         )
         head = http1.RequestHead(b"GET", b"/x", ((b"X-Attempt-Id", b"id-1"),))
-        accepted = request_flow.Accepted(
+        accepted = request_flow.AcceptedRequest(
             client_connections.Inbound(head, b"", "10.0.0.1", 0.0),
             ids.RequestId("one-1"),
             "id-1",
@@ -107,87 +111,87 @@
         self.flow = request_flow.RequestFlow(
             self.clock,
             accepted,
-            self.desk,
+            self.allocator,
             self.servers,
             requests.ServerCodec(),
-            self.answers.append,
+            self.responses.append,
             self.outcomes.append,
-            lambda: self.over.append(True),
+            lambda: self.finished.append(True),
         )
         self.flow.start()
 
     @property
-    def told(self):
-        """Return status and code of the one answer and the one outcome."""
-        assert len(self.answers) <= 1
+    def result(self):
+        """Return the status of the only response and the code of the only outcome."""
+        assert len(self.responses) <= 1
         assert len(self.outcomes) == 1
         refusal = self.outcomes[0].refusal
         code = refusal.code if refusal is not None else codes.Code.OK
-        return (self.answers[0].status if self.answers else 0), code
+        return (self.responses[0].status if self.responses else 0), code
 
 
 class TestWaiting:
-    """Requests without a slot."""
+    """Requests that wait for a slot."""
 
     def test_deadline_while_it_waits(self):
-        """It has not run, so the client may come back."""
-        one = Case()
-        one.clock.advance(1.0)
-        assert one.told == (503, codes.Code.DEADLINE_PASSED_QUEUED)
-        assert one.answers[0].get("carobhook-run") == "not-run"
-        assert one.answers[0].get("retry-after") is not None
-        assert one.over
+        """The request has not run, so the response tells the client that it may retry."""
+        case = FlowCase()
+        case.clock.advance(1.0)
+        assert case.result == (503, codes.Code.DEADLINE_PASSED_QUEUED)
+        assert case.responses[0].get("carobhook-run") == "not-run"
+        assert case.responses[0].get("retry-after") is not None
+        assert case.finished
 
     def test_client_that_leaves_while_it_waits(self):
-        """Nothing is sent, and nobody is answered."""
-        one = Case()
-        one.flow.client_gone()
-        assert one.told == (0, codes.Code.CALLER_GONE)
-        assert one.over and not one.servers.running
-
-    def test_refusal_says_what_it_was_decided_from(self):
-        """The dispatcher's reason reaches the log."""
-        one = Case()
-        one.desk.refuse()
-        assert one.told == (503, codes.Code.DEADLINE_UNMEETABLE)
-        assert one.outcomes[0].refusal.detail == "running=4/4"
-
-    def test_what_was_shifted_and_is_refused_is_served_at_home(self):
-        """An order never loses a request that its own region can serve."""
-        one = Case(fallback="north")
-        one.desk.refuse()
-        assert [region for _, region in one.desk.asked] == ["south", "north"]
-        one.desk.grant()
-        one.servers.answer()
-        assert one.told == (200, codes.Code.OK)
-
-    def test_home_is_asked_once(self):
-        """What home refuses too is refused."""
-        one = Case(fallback="north")
-        one.desk.refuse()
-        one.desk.refuse()
-        assert one.told == (503, codes.Code.DEADLINE_UNMEETABLE)
+        """The request is not sent to a server, and no response is written."""
+        case = FlowCase()
+        case.flow.client_gone()
+        assert case.result == (0, codes.Code.CALLER_GONE)
+        assert case.finished and not case.servers.exchanges
+
+    def test_detail_of_a_refusal_is_reported(self):
+        """The outcome, which is logged, has the detail of the dispatcher's refusal."""
+        case = FlowCase()
+        case.allocator.refuse()
+        assert case.result == (503, codes.Code.DEADLINE_UNMEETABLE)
+        assert case.outcomes[0].refusal.detail == "running=4/4"
+
+    def test_refused_shifted_request_falls_back_to_its_own_region(self):
+        """A request shifted by an order is not lost if its own region can serve it."""
+        case = FlowCase(fallback="north")
+        case.allocator.refuse()
+        assert [region for _, region in case.allocator.requests] == ["south", "north"]
+        case.allocator.grant()
+        case.servers.respond()
+        assert case.result == (200, codes.Code.OK)
+
+    def test_fallback_region_is_asked_once(self):
+        """A request that its own region refuses too is refused."""
+        case = FlowCase(fallback="north")
+        case.allocator.refuse()
+        case.allocator.refuse()
+        assert case.result == (503, codes.Code.DEADLINE_UNMEETABLE)
 
 
 class TestEnds:
-    """Requests that were sent."""
+    """Requests that were sent to a server."""
 
     def test_timeout_of_work_that_runs_once(self, caplog):
-        """The client is told at the timeout; the late answer is another line."""
-        one = Case(ONCE)
-        one.desk.grant()
+        """The client gets a 504 at the timeout; the late response only gets a log line."""
+        case = FlowCase(ONCE)
+        case.allocator.grant()
         with caplog.at_level("INFO", "carobhook"):
-            one.clock.advance(1.0)
-            assert one.told == (504, codes.Code.DEADLINE_PASSED_RUNNING)
-            assert not one.over
-            one.servers.answer()
-        assert one.told == (504, codes.Code.DEADLINE_PASSED_RUNNING)
-        assert one.over
+            case.clock.advance(1.0)
+            assert case.result == (504, codes.Code.DEADLINE_PASSED_RUNNING)
+            assert not case.finished
+            case.servers.respond()
+        assert case.result == (504, codes.Code.DEADLINE_PASSED_RUNNING)
+        assert case.finished
         late = [r.fields for r in caplog.records if r.event == "work-ended-late"]
         assert [(fields["request"], fields["status"]) for fields in late] == [("id-1", 200)]
 
-    def test_late_answer_does_not_hide_the_cause(self):
-        """The cause found from the lines is the one that the client saw."""
+    def test_late_response_does_not_hide_the_cause(self):
+        """The cause found in the log is that of the response that the client got."""
         lines = [
             {"time": "1", "event": "request-ended", "request": "a", "status": 504,
              "code": 1021, "sends": 1, "server": "s1", "total_ms": 1000.0},
@@ -199,32 +203,35 @@
         assert trace.code is codes.Code.DEADLINE_PASSED_RUNNING
         assert "s1" in trace.cause and "1400.0 ms" in trace.cause
 
-    def test_client_that_leaves_work_that_runs_once(self):
-        """The work goes on, and its slot is held until its end."""
-        one = Case(ONCE)
-        one.desk.grant()
-        one.flow.client_gone()
-        assert one.told == (0, codes.Code.CALLER_GONE)
-        assert not one.over and not one.desk.ends
-        one.clock.advance(2.0)
-        one.servers.answer()
-        assert one.desk.ends == [allocation.AttemptOutcome.ANSWERED]
-        assert one.told == (0, codes.Code.CALLER_GONE)
-        assert one.over
+    def test_client_disconnect_does_not_cancel_work_that_runs_once(self):
+        """The request keeps running, and its slot is released only when it ends."""
+        case = FlowCase(ONCE)
+        case.allocator.grant()
+        case.flow.client_gone()
+        assert case.result == (0, codes.Code.CALLER_GONE)
+        assert not case.finished and not case.allocator.outcomes
+        case.clock.advance(2.0)
+        case.servers.respond()
+        assert case.allocator.outcomes == [allocation.AttemptOutcome.ANSWERED]
+        assert case.result == (0, codes.Code.CALLER_GONE)
+        assert case.finished
 
     def test_broken_connection(self):
-        """What may run once is not sent again, and nobody claims that it did not run."""
-        one = Case(ONCE)
-        one.desk.grant()
-        one.servers.fail()
-        assert one.told == (502, codes.Code.BACKEND_LOST)
-        assert one.answers[0].get("carobhook-run") == "unknown"
+        """A request that must not run twice is not retried, and not reported as not run."""
+        case = FlowCase(ONCE)
+        case.allocator.grant()
+        case.servers.fail()
+        assert case.result == (502, codes.Code.BACKEND_LOST)
+        assert case.responses[0].get("carobhook-run") == "unknown"
 
     def test_shed_by_every_server(self):
-        """A request that no server ran is refused as not run."""
-        one = Case(ONCE)
+        """A request that every server shed is refused as not run."""
+        case = FlowCase(ONCE)
         for server in ("s1", "s2"):
-            one.desk.grant(server)
-            one.servers.answer(503, X_Not_Executed="1")
-        assert one.told == (503, codes.Code.BACKEND_SHED)
-        assert [ask.avoided for ask, _ in one.desk.asked] == [frozenset(), frozenset({"s1"})]
+            case.allocator.grant(server)
+            case.servers.respond(503, X_Not_Executed="1")
+        assert case.result == (503, codes.Code.BACKEND_SHED)
+        assert [request.avoided for request, _ in case.allocator.requests] == [
+            frozenset(),
+            frozenset({"s1"}),
+        ]
--- a/tests/test_requests_page.py
+++ b/tests/test_requests_page.py
@@ -1,4 +1,4 @@
-"""Tests of docs/REQUESTS.md: its table is true to the codes and names tests that exist."""
+"""Tests of docs/REQUESTS.md: its table matches the result codes and the existing tests."""
 
 import ast
 import pathlib
@@ -15,7 +15,7 @@
 
 
 def methods_in(name: str) -> set[tuple[str, str]]:
-    """Return the classes and methods of a test file."""
+    """Return the pairs of class name and method name in a test file."""
     tree = ast.parse((_TESTS / name).read_text("utf-8"))
     return {
         (node.name, item.name)
@@ -27,18 +27,18 @@
 
 
 class TestTable:
-    """The table of points at which a request can fail."""
+    """Table of the points at which a request can fail."""
 
     @pytest.mark.parametrize("row", _ROWS, ids=lambda row: row[0])
     def test_row(self, row):
-        """What a row says about running is the code's, and its test exists."""
-        _, number, run, file, case, method = row
+        """A row has the run status of its result code, and names a test that exists."""
+        _, number, run, file, class_name, method = row
         code = next(code for code in codes.Code if code.number == int(number))
         assert code.run.value == run
-        assert (case, method) in methods_in(file)
+        assert (class_name, method) in methods_in(file)
 
     def test_every_code_of_a_request_has_a_row(self):
-        """No code from 1001 to 1999 is missing."""
+        """The table lists exactly the result codes from 1001 to 1999."""
         listed = {int(row[1]) for row in _ROWS}
         expected = {code.number for code in codes.Code if 1000 < code.number < 2000}
         assert listed == expected
