--- a/src/carobhook/platform/requests.py
+++ b/src/carobhook/platform/requests.py
@@ -106,7 +106,7 @@
         ttl_s: Seconds for which clients may cache the response.
     """
     if not addresses:
-        return client_connections.own_answer(503)
+        return client_connections.local_response(503)
     body = {"Addresses": addresses, "Ttl": f"{round(ttl_s * 1000)}ms"}
     headers = ((b"Content-Type", b"application/json"),)
     return http1.Response(200, b"OK", headers, json.dumps(body).encode())
--- a/src/carobhook/platform/store.py
+++ b/src/carobhook/platform/store.py
@@ -180,7 +180,7 @@
             body = json.dumps(payload, separators=(",", ":")).encode()
         head = http1.RequestHead(method, path.encode(), tuple(headers))
         pending = defer.ensureDeferred(
-            self._connections.exchange(self._address, head, body, careful=False)
+            self._connections.exchange(self._address, head, body, require_fresh=False)
         )
         timer = self._reactor.callLater(timeout_s, pending.cancel)
         try:
@@ -188,12 +188,12 @@
         except defer.CancelledError as error:
             if timer.active():
                 raise
-            self._connections.distrust(self._address)
+            self._connections.discard_idle(self._address)
             raise TimeoutError(f"no answer in {timeout_s:g} s") from error
         finally:
             if timer.active():
                 timer.cancel()
-        return typing.cast(server_connections.Received, received).answer
+        return typing.cast(server_connections.ReceivedResponse, received).response
 
     def _decode_object(self, kind: str, raw: typing.Any) -> objects.StoredObject:
         meta = raw["Metadata"]
--- a/src/carobhook/standins/platform_client.py
+++ b/src/carobhook/standins/platform_client.py
@@ -217,10 +217,10 @@
             defer.TimeoutError: No response came in time.
         """
         exchange = defer.ensureDeferred(
-            self._connections.exchange(address, head, b"", careful=True)
+            self._connections.exchange(address, head, b"", require_fresh=True)
         )
         received = await exchange.addTimeout(timeout_s, self._reactor)
-        return received.answer
+        return received.response
 
     async def _address(self, host: str) -> str | None:
         """Return the address to connect to, or None if no address is usable.
--- a/src/carobhook/standins/platform_server.py
+++ b/src/carobhook/standins/platform_server.py
@@ -47,12 +47,12 @@
 
 @attrs.define(eq=False)
 class _RunningRequest:
-    """A running request; implements `client_connections.Exchange`."""
+    """A running request; implements `client_connections.ActiveRequest`."""
 
     timer: typing.Any
     on_cancel: Callable[[], None]
 
-    def client_gone(self) -> None:
+    def client_disconnected(self) -> None:
         """Cancel the request."""
         if self.timer.active():
             self.timer.cancel()
@@ -110,8 +110,8 @@
                 connection.abort()
 
     def _handle(
-        self, inbound: client_connections.Inbound, respond: Respond
-    ) -> client_connections.Exchange | None:
+        self, inbound: client_connections.ClientRequest, respond: Respond
+    ) -> client_connections.ActiveRequest | None:
         head = inbound.head
         self.heads.append(head)
         expected = head.get(names.EXPECTED_SERVER)
@@ -135,7 +135,7 @@
         behaviour = self.behaviour
         if behaviour.reset or behaviour.raw is not None:
             for connection in self._connections:
-                if connection.connected and not connection.idle:
+                if connection.connected and not connection.is_idle:
                     if behaviour.raw:
                         connection.transport.write(behaviour.raw)
                         connection.transport.loseConnection()
--- a/src/carobhook/standins/platform_store.py
+++ b/src/carobhook/standins/platform_store.py
@@ -38,7 +38,7 @@
 
 @attrs.define(eq=False)
 class _Watch:
-    """A watch that waits for an event; implements `client_connections.Exchange`."""
+    """A watch that waits for an event; implements `client_connections.ActiveRequest`."""
 
     kind: str
     since: int
@@ -46,7 +46,7 @@
     timer: typing.Any = None
     on_cancel: Callable[["_Watch"], None] = lambda watch: None
 
-    def client_gone(self) -> None:
+    def client_disconnected(self) -> None:
         """Cancel the watch."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
@@ -107,14 +107,14 @@
         self._engine.compact()
 
     def _handle(
-        self, inbound: client_connections.Inbound, respond: Respond
-    ) -> client_connections.Exchange | None:
+        self, inbound: client_connections.ClientRequest, respond: Respond
+    ) -> client_connections.ActiveRequest | None:
         target = inbound.head.target.decode("latin-1")
         self.calls.append(f"{inbound.head.method.decode()} {target}")
         if self.mode.silent:
             return None
         if self.mode.refuse_status:
-            respond(client_connections.own_answer(self.mode.refuse_status))
+            respond(client_connections.local_response(self.mode.refuse_status))
             return None
         path, _, query = target.partition("?")
         parameters = dict(urllib.parse.parse_qsl(query))
@@ -125,22 +125,22 @@
                 return self._watch(kind, parameters, respond)
             result = self._execute(inbound, kind, name, parameters)
         except objects.ConflictError:
-            respond(client_connections.own_answer(409))
+            respond(client_connections.local_response(409))
         except objects.ExpiredError:
-            respond(client_connections.own_answer(410))
+            respond(client_connections.local_response(410))
         except memory_store.RateLimitedError:
-            respond(client_connections.own_answer(429))
+            respond(client_connections.local_response(429))
         else:
             respond(
                 _json_response(result)
                 if result is not None
-                else client_connections.own_answer(404)
+                else client_connections.local_response(404)
             )
         return None
 
     def _execute(
         self,
-        inbound: client_connections.Inbound,
+        inbound: client_connections.ClientRequest,
         kind: str,
         name: str | None,
         parameters: dict[str, str],
@@ -176,7 +176,7 @@
 
     def _watch(
         self, kind: str, parameters: dict[str, str], respond: Respond
-    ) -> client_connections.Exchange | None:
+    ) -> client_connections.ActiveRequest | None:
         self._engine.admit_watch(self._reactor.seconds())
         watch = _Watch(kind, int(parameters["Watch"]), respond)
         if self._answer_watch(watch):
--- a/src/carobhook/transport/client_connections.py
+++ b/src/carobhook/transport/client_connections.py
@@ -30,7 +30,7 @@
 
 
 @attrs.frozen
-class Inbound:
+class ClientRequest:
     """A complete request of a client.
 
     Attributes:
@@ -46,17 +46,17 @@
     received_at: float
 
 
-class Exchange(typing.Protocol):
+class ActiveRequest(typing.Protocol):
     """A request that a handler has not responded to yet."""
 
-    def client_gone(self) -> None:
+    def client_disconnected(self) -> None:
         """Report that the client's connection was closed."""
 
 
-Handler = Callable[[Inbound, Callable[[http1.Response], None]], Exchange | None]
+Handler = Callable[[ClientRequest, Callable[[http1.Response], None]], ActiveRequest | None]
 
 
-def own_answer(
+def local_response(
     status: int, text: str = "", headers: tuple[tuple[bytes, bytes], ...] = ()
 ) -> http1.Response:
     """Return a response that this process generates itself.
@@ -82,7 +82,7 @@
         self._body_chunks: list[bytes] = []
         self._body_size = 0
         self._received_at = 0.0
-        self._active_exchange: Exchange | None = None
+        self._active_request: ActiveRequest | None = None
         self._busy = False
         self._closing = False
         self._timer: typing.Any = None
@@ -91,7 +91,7 @@
         self._close_requested = False
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether no request is being read or handled."""
         return not self._busy and self._parser is None and not self._buffer
 
@@ -106,9 +106,9 @@
         self._stop_timer()
         self._release_body()
         self._listener.remove_connection(self)
-        exchange, self._active_exchange = self._active_exchange, None
-        if exchange is not None:
-            exchange.client_gone()
+        active_request, self._active_request = self._active_request, None
+        if active_request is not None:
+            active_request.client_disconnected()
 
     def dataReceived(self, data: bytes) -> None:
         """Parse or buffer received bytes."""
@@ -132,7 +132,7 @@
 
     def close_if_idle(self) -> None:
         """Close the connection if no request is being read or handled."""
-        if self.idle:
+        if self.is_idle:
             self.transport.loseConnection()
 
     def _read_head(self) -> None:
@@ -216,24 +216,24 @@
         self._busy = True
         head = typing.cast(http1.RequestHead, self._head)
         peer = self.transport.getPeer()
-        request = Inbound(
+        request = ClientRequest(
             head, b"".join(self._body_chunks), getattr(peer, "host", ""), self._received_at
         )
         self._body_chunks.clear()
         self._response_has_body = head.method != b"HEAD"
         self._close_requested = _requests_close(head, parser.their_http_version)
-        exchange = self._listener.handler(request, self._respond)
+        active_request = self._listener.handler(request, self._respond)
         if self._busy:
-            self._active_exchange = exchange
+            self._active_request = active_request
 
     def _respond(self, response: http1.Response) -> None:
         """Write the response to the current request; later calls for it are ignored."""
         if not self._busy or self.transport is None or not self.connected:
             return
         self._busy = False
-        self._active_exchange = None
+        self._active_request = None
         self._release_body()
-        close = self._close_requested or self._listener.leaving
+        close = self._close_requested or self._listener.closes_after_response
         self.transport.write(http1.encode_response(response, self._response_has_body, close))
         if close:
             self._closing = True
@@ -256,7 +256,7 @@
         self._body_chunks.clear()
         logs.event("request-unreadable", status=status, reason=text)
         headers = ((b"Retry-After", b"1"),) if retry else ()
-        response = own_answer(status, text, headers)
+        response = local_response(status, text, headers)
         self.transport.write(http1.encode_response(response, True, True))
         self._stop_timer()
         self._timer = self._reactor.callLater(_LINGER_S, self.transport.loseConnection)
@@ -276,7 +276,7 @@
         self._timer = None
 
     def _on_timeout(self) -> None:
-        if self.idle:
+        if self.is_idle:
             self.transport.loseConnection()
         else:
             self._reject(408, "the request did not arrive in time")
@@ -300,7 +300,7 @@
         max_buffered_bytes: Maximum size of all request bodies in memory, in bytes.
 
     Attributes:
-        leaving: Whether connections are closed after their next response.
+        closes_after_response: Whether connections are closed after their next response.
     """
 
     noisy = False
@@ -317,7 +317,7 @@
         self.reactor = reactor
         self.handler = handler
         self.limits = limits
-        self.leaving = False
+        self.closes_after_response = False
         self._max_connections = max_connections
         self._max_buffered_bytes = max_buffered_bytes
         self._buffered_bytes = 0
--- a/src/carobhook/transport/entry_daemon.py
+++ b/src/carobhook/transport/entry_daemon.py
@@ -16,7 +16,7 @@
 from carobhook.state import ids, members, routing
 from carobhook.transport import (
     client_connections,
-    entry_answers,
+    entry_endpoints,
     entry_requests,
     member_streams,
     peers,
@@ -33,7 +33,7 @@
 _CLOSE_IDLE_S = 1.0
 # New connections are taken this long after a stop began: clients that asked the directory just
 # before go by its answer for that time.
-_ACCEPT_WHILE_LEAVING_S = entry_answers.DIRECTORY_TTL_S + 0.3
+_ACCEPT_WHILE_LEAVING_S = entry_endpoints.DIRECTORY_TTL_S + 0.3
 _STOP_POLL_S = 0.05
 # Share of the grace before whose end the last answers are out and the process has ended.
 _GRACE_MARGIN_SHARE = 0.15
@@ -95,17 +95,17 @@
         self._servers = server_connections.ServerConnections(reactor, _CONNECT_TIMEOUT_S)
         self._metrics = entry_metrics.EntryMetrics(self._gauges(omitted))
         self._requests = self._entry_requests()
-        self._front = self._listener(self._requests.take)
-        answers = entry_answers.EntryAnswers(
+        self._front = self._listener(self._requests.handle)
+        endpoints = entry_endpoints.EntryEndpoints(
             reactor,
             self._streams.roster,
             self._metrics,
             lambda: self._phase is members.Phase.READY,
             lambda: self._settings.bounds.ttl_max_s,
         )
-        self._readiness = self._listener(answers.take_readiness)
-        self._directory = self._listener(answers.take_directory)
-        self._metrics_listener = self._listener(answers.take_metrics)
+        self._readiness = self._listener(endpoints.handle_readiness)
+        self._directory = self._listener(endpoints.handle_directory)
+        self._metrics_listener = self._listener(endpoints.handle_metrics)
         self._operators: typing.Any = None
         self._ports: list[typing.Any] = []
         self._loops: list[task.LoopingCall] = []
@@ -171,7 +171,7 @@
             place.region,
             place.failure_domain,
             self._incarnation,
-            entry_requests.RequestPorts(
+            entry_requests.RequestContext(
                 self._known,
                 self._orders,
                 self._desk,
@@ -201,7 +201,7 @@
         return {
             metric.IN_FLIGHT: lambda: self._requests.in_flight,
             metric.CLIENT_CONNECTIONS: lambda: self._front.open_connections,
-            metric.SERVER_CONNECTIONS: lambda: self._servers.opened,
+            metric.SERVER_CONNECTIONS: lambda: self._servers.opened_count,
             metric.STORE_CALLS: lambda: self._store.calls,
             metric.STORE_LOST: lambda: float(known.store_lost_at is not None),
             metric.SERVERS: lambda: len(known.servers(seconds())),
@@ -292,7 +292,7 @@
         accept_until = begun_at + _ACCEPT_WHILE_LEAVING_S
         logs.event("instance-leaving", requests=self._requests.in_flight)
         self._phase = members.Phase.LEAVING
-        self._front.leaving = True
+        self._front.closes_after_response = True
         self._beat()
         self._desk.members_changed()
         self._front.close_idle()
@@ -376,9 +376,9 @@
         if isinstance(message, feed_messages.Message):
             self._follow.received(sender, message)
         elif isinstance(message, slot_messages.RequestMarked):
-            self._requests.marked(message)
+            self._requests.apply_mark(message)
         elif isinstance(message, slot_messages.RequestCleared):
-            self._requests.cleared(message)
+            self._requests.apply_clearing(message)
         elif isinstance(message, slot_messages.LoadQuery):
             loads = tuple(self._desk.loads())
             self._streams.send(sender, slot_messages.LoadReport(message.id, loads))
--- a/src/carobhook/transport/entry_answers.py
+++ b/src/carobhook/transport/entry_endpoints.py
@@ -16,7 +16,7 @@
 _Responder = Callable[[http1.Response], None]
 
 
-class EntryAnswers:
+class EntryEndpoints:
     """Handlers for readiness checks, directory lookups and metrics.
 
     Args:
@@ -42,19 +42,25 @@
         self._is_ready = is_ready
         self._ttl_max_s = ttl_max_s
 
-    def take_metrics(self, request: client_connections.Inbound, respond: _Responder) -> None:
+    def handle_metrics(
+        self, request: client_connections.ClientRequest, respond: _Responder
+    ) -> None:
         """Respond with all metrics as text."""
         if request.head.target.partition(b"?")[0] != METRICS_PATH:
-            respond(client_connections.own_answer(404))
+            respond(client_connections.local_response(404))
             return
         headers = ((b"Content-Type", b"text/plain; version=0.0.4; charset=utf-8"),)
         respond(http1.Response(200, b"OK", headers, self._metrics.text()))
 
-    def take_readiness(self, request: client_connections.Inbound, respond: _Responder) -> None:
+    def handle_readiness(
+        self, request: client_connections.ClientRequest, respond: _Responder
+    ) -> None:
         """Respond with status 200 if this instance accepts requests of clients, else 503."""
-        respond(client_connections.own_answer(200 if self._is_ready() else 503))
+        respond(client_connections.local_response(200 if self._is_ready() else 503))
 
-    def take_directory(self, request: client_connections.Inbound, respond: _Responder) -> None:
+    def handle_directory(
+        self, request: client_connections.ClientRequest, respond: _Responder
+    ) -> None:
         """Respond to a directory lookup in the format of the platform or of the client API.
 
         The path of the lookup determines the format.
@@ -66,7 +72,7 @@
             encode = client_api.lookup_response
             lookup = client_api.parse_lookup(target)
         if lookup is None:
-            respond(client_connections.own_answer(404))
+            respond(client_connections.local_response(404))
             return
         response = encode(
             self._addresses(lookup, request.client), min(self._ttl_max_s(), DIRECTORY_TTL_S)
--- a/src/carobhook/transport/entry_requests.py
+++ b/src/carobhook/transport/entry_requests.py
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class RequestPorts:
+class RequestContext:
     """Parts of an instance that the handling of requests uses.
 
     Attributes:
@@ -63,7 +63,7 @@
         region: ids.Region,
         domain: ids.FailureDomain,
         incarnation: ids.Incarnation,
-        context: RequestPorts,
+        context: RequestContext,
     ) -> None:
         self._reactor = reactor
         self._domain = domain
@@ -80,9 +80,9 @@
         """Return the number of requests that wait for a slot or run."""
         return len(self._active_flows)
 
-    def take(
-        self, request: client_connections.Inbound, respond: Responder
-    ) -> client_connections.Exchange | None:
+    def handle(
+        self, request: client_connections.ClientRequest, respond: Responder
+    ) -> client_connections.ActiveRequest | None:
         """Handle a request and respond to it exactly once, now or later.
 
         Args:
@@ -118,7 +118,7 @@
         flow.start()
         return flow
 
-    def marked(self, message: slot_messages.RequestMarked) -> None:
+    def apply_mark(self, message: slot_messages.RequestMarked) -> None:
         """Add the mark of a request that broke a server's connection at another instance.
 
         A mark that is new here is forwarded, because not every instance has a stream to every
@@ -129,7 +129,7 @@
         if self._quarantine.add(mark):
             self._context.broadcast(message)
 
-    def cleared(self, message: slot_messages.RequestCleared) -> None:
+    def apply_clearing(self, message: slot_messages.RequestCleared) -> None:
         """Clear the marks of a request that was answered at another instance.
 
         The message is forwarded if there were any, because not every instance has a stream to
@@ -139,7 +139,7 @@
             self._context.broadcast(message)
 
     def _route(
-        self, request: client_connections.Inbound, call: client_api.ServiceCall | None
+        self, request: client_connections.ClientRequest, call: client_api.ServiceCall | None
     ) -> request_routing.RoutingDecision | refusals.Refusal:
         """Return the routing decision for a request, or a refusal.
 
@@ -157,7 +157,9 @@
         )
 
     def _accept(
-        self, request: client_connections.Inbound, decision: request_routing.RoutingDecision
+        self,
+        request: client_connections.ClientRequest,
+        decision: request_routing.RoutingDecision,
     ) -> request_flow.AcceptedRequest:
         self._accepted_count += 1
         config = self._context.server_catalog.config
@@ -227,7 +229,7 @@
 
     # Quarantine of requests that break the connections of servers.
 
-    def _is_quarantined(self, request: client_connections.Inbound) -> bool:
+    def _is_quarantined(self, request: client_connections.ClientRequest) -> bool:
         if self._quarantine.is_empty:
             return False
         return self._quarantine.is_quarantined(_fingerprint(request), self._reactor.seconds())
@@ -272,7 +274,7 @@
     return respond_with_code
 
 
-def _fingerprint(request: client_connections.Inbound) -> poison.Fingerprint:
+def _fingerprint(request: client_connections.ClientRequest) -> poison.Fingerprint:
     """Return the fingerprint of a request, which is the same when its client repeats it."""
     head = request.head
     host = head.get("host") or ""
--- a/src/carobhook/transport/operator_api.py
+++ b/src/carobhook/transport/operator_api.py
@@ -113,7 +113,7 @@
         self._gathering: dict[str, _Gathering] = {}
         self._gathered = 0
 
-    def take(self, inbound: client_connections.Inbound, answer: _Answer) -> None:
+    def take(self, inbound: client_connections.ClientRequest, answer: _Answer) -> None:
         """Handle one request."""
         running = defer.ensureDeferred(self._handle(inbound))
         running.addErrback(_unexpected)
@@ -129,7 +129,7 @@
         if gathering.missing <= 0 and not gathering.complete.called:
             gathering.complete.callback(None)
 
-    async def _handle(self, inbound: client_connections.Inbound) -> http1.Response:
+    async def _handle(self, inbound: client_connections.ClientRequest) -> http1.Response:
         head = inbound.head
         path = head.target.partition(b"?")[0].decode("latin-1")
         header = head.get("authorization")
--- a/src/carobhook/transport/request_flow.py
+++ b/src/carobhook/transport/request_flow.py
@@ -83,7 +83,7 @@
         domain: Failure domain of this instance.
     """
 
-    request: client_connections.Inbound
+    request: client_connections.ClientRequest
     id: ids.RequestId
     client_id: str | None
     route: routing.Route
@@ -123,7 +123,7 @@
 
 
 class RequestFlow:
-    """Processing of one request; implements `client_connections.Exchange`.
+    """Processing of one request; implements `client_connections.ActiveRequest`.
 
     Args:
         reactor: Source of time and timers.
@@ -173,7 +173,7 @@
         self._timer: typing.Any = None
         self._responded = False
         self._outcome_reported = False
-        self._failure_response: server_connections.Received | None = None
+        self._failure_response: server_connections.ReceivedResponse | None = None
 
     @property
     def stage(self) -> Stage:
@@ -187,7 +187,7 @@
         self._task = defer.ensureDeferred(self._run())
         self._task.addErrback(self._on_error)
 
-    def client_gone(self) -> None:
+    def client_disconnected(self) -> None:
         """Report that the client disconnected, and cancel the request where that is safe.
 
         A request that must not run twice is not cancelled once it was sent to a server.
@@ -306,7 +306,7 @@
             received = await self._servers.exchange(
                 grant.address, head, accepted.request.body, once_only, self._matches_attempt
             )
-            outcome = self._codec.attempt_outcome(received.answer)
+            outcome = self._codec.attempt_outcome(received.response)
         except server_connections.ExchangeError as error:
             outcome = self._failed_outcome(error, grant)
             received = None
@@ -341,13 +341,13 @@
         if error.reused and error.fault is server_connections.Fault.RESET:
             # The server may have closed the connection before the request reached it, so the
             # other idle connections to it are not trusted either.
-            self._servers.distrust(grant.address)
+            self._servers.discard_idle(grant.address)
         return allocation.AttemptOutcome.BROKEN
 
     def _handle_outcome(
         self,
         outcome: allocation.AttemptOutcome,
-        received: server_connections.Received | None,
+        received: server_connections.ReceivedResponse | None,
         grant: allocation.SlotGrant,
     ) -> bool:
         """Respond to the client, or return True if the request is sent to another server."""
@@ -395,8 +395,8 @@
             return False
         return self._accepted.deadline_at - self._reactor.seconds() > _MIN_WORK_S
 
-    def _forward_response(self, received: server_connections.Received | None) -> None:
-        response = typing.cast(server_connections.Received, received).answer
+    def _forward_response(self, received: server_connections.ReceivedResponse | None) -> None:
+        response = typing.cast(server_connections.ReceivedResponse, received).response
         if not self._responded:
             self._responded = True
             self._respond(response)
@@ -469,4 +469,4 @@
     ]
     if refusal.status == 503 and refusal.retry_after_s is not None:
         headers.append((b"Retry-After", f"{refusal.retry_after_s:.3f}".encode()))
-    return client_connections.own_answer(refusal.status, info.text, tuple(headers))
+    return client_connections.local_response(refusal.status, info.text, tuple(headers))
--- a/src/carobhook/transport/server_connections.py
+++ b/src/carobhook/transport/server_connections.py
@@ -61,16 +61,16 @@
 
 
 @attrs.frozen
-class Received:
+class ReceivedResponse:
     """A complete response.
 
     Attributes:
-        answer: Response with its end-to-end headers.
-        raw_headers: All headers, those of the connection included.
+        response: Response with its end-to-end headers.
+        raw_headers: All headers, including hop-by-hop ones.
         closing: Whether the connection is closed after this response.
     """
 
-    answer: http1.Response
+    response: http1.Response
     raw_headers: http1.Headers
     closing: bool
 
@@ -101,8 +101,8 @@
     ) -> defer.Deferred:
         """Send a request.
 
-        The result fires with `Received` or fails with `ExchangeError`; cancelling it closes the
-        connection.
+        The result fires with `ReceivedResponse` or fails with `ExchangeError`; cancelling it
+        closes the connection.
         """
         self._matches = matches
         self._method = head.method
@@ -206,7 +206,7 @@
         if close and self.transport is not None:
             self.transport.loseConnection()
         if pending is not None:
-            pending.callback(Received(response, raw_headers, close))
+            pending.callback(ReceivedResponse(response, raw_headers, close))
 
     def _fail(self, fault: Fault, text: str) -> None:
         pending, response_started = self._pending, self._response_head is not None
@@ -242,7 +242,7 @@
         self._opened_count = 0
 
     @property
-    def opened(self) -> int:
+    def opened_count(self) -> int:
         """Return the number of connections opened since the start."""
         return self._opened_count
 
@@ -251,17 +251,17 @@
         address: str,
         head: http1.RequestHead,
         body: bytes,
-        careful: bool,
+        require_fresh: bool,
         matches: ResponseMatcher = _match_any,
-    ) -> Received:
+    ) -> ReceivedResponse:
         """Send a request to a server and return its complete response.
 
         Args:
             address: ``host:port`` of the server.
             head: Request line and headers without a length.
             body: Request body.
-            careful: Whether to use only a new connection or one that was idle for a short time
-                only, because the request cannot be sent again.
+            require_fresh: Whether to use only a new connection or one that was idle only
+                briefly, because the request cannot be sent again.
             matches: Returns whether a response belongs to this request.
 
         Raises:
@@ -269,7 +269,7 @@
             twisted.internet.defer.CancelledError: The exchange was cancelled; the connection
                 is closed.
         """
-        connection = self._pop_idle(address, careful) or await self._connect(address)
+        connection = self._pop_idle(address, require_fresh) or await self._connect(address)
         received = await connection.exchange(head, body, matches)
         if connection.is_reusable:
             self._idle.setdefault(address, collections.deque()).append(connection)
@@ -295,20 +295,20 @@
     def stop(self) -> None:
         """Close all idle connections."""
         for address in list(self._idle):
-            self.distrust(address)
+            self.discard_idle(address)
 
-    def distrust(self, address: str) -> None:
+    def discard_idle(self, address: str) -> None:
         """Close the idle connections to a server, because one of them turned out to be dead."""
         for connection in self._idle.pop(address, ()):
             connection.abort()
 
-    def _pop_idle(self, address: str, careful: bool) -> _ServerConnection | None:
+    def _pop_idle(self, address: str, require_fresh: bool) -> _ServerConnection | None:
         now = self._reactor.seconds()
         idle = self._idle.get(address)
         while idle:
             connection = idle.pop()
             max_idle_s = connection.idle_limit_s
-            if careful:
+            if require_fresh:
                 max_idle_s = min(max_idle_s, _MAX_FRESH_IDLE_S)
             if _is_within_idle_limit(connection, now, max_idle_s):
                 return connection
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -209,8 +209,8 @@
             tuple((k.encode(), v.encode()) for k, v in all_headers.items()),
         )
         address = f"127.0.0.1:{self.instance_ports[instance][port]}"
-        received = await self.connections.exchange(address, head, body, careful=True)
-        return received.answer
+        received = await self.connections.exchange(address, head, body, require_fresh=True)
+        return received.response
 
     async def send_raw(self, data, wait_s=None):
         """Send bytes on a new connection; return the client after its close or a delay."""
--- a/tests/test_request_flow.py
+++ b/tests/test_request_flow.py
@@ -63,14 +63,16 @@
             (k.replace("_", "-").encode(), v.encode()) for k, v in headers.items()
         )
         response = http1.Response(status, b"Status", raw_headers, b"body")
-        self.exchanges.pop().callback(server_connections.Received(response, raw_headers, False))
+        self.exchanges.pop().callback(
+            server_connections.ReceivedResponse(response, raw_headers, False)
+        )
 
     def fail(self, fault=server_connections.Fault.RESET):
         """Fail the running exchange."""
         error = server_connections.ExchangeError(fault, "broken", False, False)
         self.exchanges.pop().errback(error)
 
-    def distrust(self, address):
+    def discard_idle(self, address):
         """Do nothing, as there are no idle connections."""
 
 
@@ -95,7 +97,7 @@
         )
         head = http1.RequestHead(b"GET", b"/x", ((b"X-Attempt-Id", b"id-1"),))
         accepted = request_flow.AcceptedRequest(
-            client_connections.Inbound(head, b"", "10.0.0.1", 0.0),
+            client_connections.ClientRequest(head, b"", "10.0.0.1", 0.0),
             ids.RequestId("one-1"),
             "id-1",
             route,
@@ -145,7 +147,7 @@
     def test_client_that_leaves_while_it_waits(self):
         """The request is not sent to a server, and no response is written."""
         case = FlowCase()
-        case.flow.client_gone()
+        case.flow.client_disconnected()
         assert case.result == (0, codes.Code.CALLER_GONE)
         assert case.finished and not case.servers.exchanges
 
@@ -207,7 +209,7 @@
         """The request keeps running, and its slot is released only when it ends."""
         case = FlowCase(ONCE)
         case.allocator.grant()
-        case.flow.client_gone()
+        case.flow.client_disconnected()
         assert case.result == (0, codes.Code.CALLER_GONE)
         assert not case.finished and not case.allocator.outcomes
         case.clock.advance(2.0)
--- a/tests/test_stuck_reader.py
+++ b/tests/test_stuck_reader.py
@@ -47,8 +47,8 @@
         head = http1.RequestHead(b"GET", b"/-/readiness", ((b"Host", b"x"),))
         for _ in range(100):
             try:
-                received = await connections.exchange(address, head, b"", careful=True)
-                if received.answer.status == 200:
+                received = await connections.exchange(address, head, b"", require_fresh=True)
+                if received.response.status == 200:
                     break
             except server_connections.ExchangeError:
                 pass
@@ -84,9 +84,9 @@
         connections = server_connections.ServerConnections(reactor, 1.0)
         address = f"127.0.0.1:{one._instance_ports[0]['metrics']}"
         head = http1.RequestHead(b"GET", b"/metrics", ((b"Host", b"x"),))
-        received = await connections.exchange(address, head, b"", careful=True)
+        received = await connections.exchange(address, head, b"", require_fresh=True)
         connections.stop()
-        lines = received.answer.body.decode().splitlines()
+        lines = received.response.body.decode().splitlines()
         found = [line for line in lines if line.startswith("carobhook_log_lines_omitted ")]
         return float(found[0].split()[1])
 
@@ -102,8 +102,8 @@
         headers = ((b"Host", b"demo.example"), (b"X-Attempt-Id", str(number).encode()))
         began_at = reactor.seconds()
         received = await connections.exchange(
-            address, http1.RequestHead(b"GET", path, headers), b"", careful=True
+            address, http1.RequestHead(b"GET", path, headers), b"", require_fresh=True
         )
         connections.stop()
-        assert received.answer.status == 404
+        assert received.response.status == 404
         return reactor.seconds() - began_at
