--- /dev/null
+++ b/src/carobhook/transport/entry_endpoints.py
@@ -0,0 +1,89 @@
+"""HTTP endpoints of an instance for readiness checks, directory lookups and metrics."""
+
+import typing
+from collections.abc import Callable
+
+from carobhook import entry_metrics
+from carobhook.coordination import directory, membership
+from carobhook.platform import requests
+from carobhook.protocol import client_api, http1
+from carobhook.transport import client_connections
+
+METRICS_PATH = b"/metrics"
+DIRECTORY_TTL_S = 2.0
+_MAX_ADDRESSES = 64
+
+_Responder = Callable[[http1.Response], None]
+
+
+class EntryEndpoints:
+    """Handlers for readiness checks, directory lookups and metrics.
+
+    Args:
+        reactor: Source of time.
+        known_members: Instances that this instance knows.
+        metrics: Counters and histograms.
+        is_ready: Returns whether this instance accepts requests of clients.
+        ttl_max_s: Returns the maximum number of seconds that clients may cache a response to a
+            directory lookup.
+    """
+
+    def __init__(
+        self,
+        reactor: typing.Any,
+        known_members: membership.Membership,
+        metrics: entry_metrics.EntryMetrics,
+        is_ready: Callable[[], bool],
+        ttl_max_s: Callable[[], float],
+    ) -> None:
+        self._reactor = reactor
+        self._known_members = known_members
+        self._metrics = metrics
+        self._is_ready = is_ready
+        self._ttl_max_s = ttl_max_s
+
+    def handle_metrics(
+        self, request: client_connections.ClientRequest, respond: _Responder
+    ) -> None:
+        """Respond with all metrics as text."""
+        if request.head.target.partition(b"?")[0] != METRICS_PATH:
+            respond(client_connections.local_response(404))
+            return
+        headers = ((b"Content-Type", b"text/plain; version=0.0.4; charset=utf-8"),)
+        respond(http1.Response(200, b"OK", headers, self._metrics.render()))
+
+    def handle_readiness(
+        self, request: client_connections.ClientRequest, respond: _Responder
+    ) -> None:
+        """Respond with status 200 if this instance accepts requests of clients, else 503."""
+        respond(client_connections.local_response(200 if self._is_ready() else 503))
+
+    def handle_directory(
+        self, request: client_connections.ClientRequest, respond: _Responder
+    ) -> None:
+        """Respond to a directory lookup in the format of the platform or of the client API.
+
+        The path of the lookup determines the format.
+        """
+        target = request.head.target
+        encode = requests.encode_directory_response
+        lookup = requests.parse_directory_query(target)
+        if lookup is None:
+            encode = client_api.lookup_response
+            lookup = client_api.parse_lookup(target)
+        if lookup is None:
+            respond(client_connections.local_response(404))
+            return
+        response = encode(
+            self._addresses(lookup, request.client), min(self._ttl_max_s(), DIRECTORY_TTL_S)
+        )
+        self._metrics.count(entry_metrics.EntryMetric.LOOKUPS, str(response.status))
+        respond(response)
+
+    def _addresses(self, lookup: client_api.Lookup, client: str) -> list[str]:
+        """Return the addresses of the instances that a client should use."""
+        now = self._reactor.seconds()
+        serving = self._known_members.serving(now)
+        nearest = directory.nearest(serving, lookup.region, lookup.failure_domain)
+        chosen = directory.choose_weighted(nearest, client, now)
+        return [member.http for member in chosen[:_MAX_ADDRESSES]]
