--- a/src/carobhook/coordination/dispatcher.py
+++ b/src/carobhook/coordination/dispatcher.py
@@ -15,32 +15,33 @@
 
 Decision = allocation.SlotGrant | allocation.SlotRefusal
 
-# A new request may be expected to queue for this share of the time that its target leaves after
-# its own work. With a longer queue, requests would miss their targets whenever the estimated
-# work times are too low; a shorter queue serves as many requests in time.
+# A new request is refused if its expected wait exceeds this share of the time that its own work
+# leaves until its target. With a larger share, requests would miss their targets whenever the
+# estimated work times are too low, and no more requests would be served in time.
 _MAX_QUEUE_SHARE = 0.45
-# Cost of a second of slot time, compared with a second that the caller waits. Slot time matters
-# more when others queue for it: the second value is added in proportion to the queue's length,
-# in full when the queue is as long as the number of slots.
+# Cost of a second of slot time, as a multiple of the cost of a second that the caller waits.
+# Slot time costs more while other requests queue for it: the second value is added in
+# proportion to the queue's length, and in full once the queue has as many requests as the pool
+# has slots.
 _SLOT_TIME_WEIGHT = 0.3
 _QUEUE_SLOT_TIME_WEIGHT = 0.5
 _MIN_RETRY_AFTER_S = 0.2
 _MAX_RETRY_AFTER_S = 5.0
-# Work time assumed for a route without any samples.
+# Work time assumed while there are no samples to estimate it from.
 _DEFAULT_WORK_S = 0.2
-# Cost of a server of which every answer is a failure, as a multiple of the work time.
+# Cost added for a server whose responses all report failures, as a multiple of the work time.
 _FAILURE_PENALTY = 4.0
 # Traffic between failure domains is billed, so a caller waits up to this much longer for a
 # server in its own failure domain.
 _CROSS_DOMAIN_COST_S = 0.015
-# A request that is expected to miss its target is queued only while the queue has fewer such
-# requests than this share of the slots.
+# A request that may miss its target is queued only while the number of such requests in the
+# queue is below this share of the number of slots.
 _MAX_LATE_SHARE = 0.25
 
 
 @attrs.frozen
 class _Candidate:
-    """A server that could run a request, with its expected times in seconds."""
+    """A server that could run a request, with its expected times and its cost in seconds."""
 
     server: server_pool.PooledServer
     wait_s: float
@@ -55,8 +56,8 @@
     Attributes:
         request: The slot request.
         queued_at: Monotonic time in seconds of its arrival.
-        expected_work_s: Seconds of work expected at the best server.
-        late: Whether it is expected to miss its target.
+        expected_work_s: Expected work time in seconds, as `_estimate_work_s` returned it.
+        late: Whether it may miss its target even if it starts at once. Once true, stays true.
     """
 
     request: allocation.SlotRequest
@@ -72,14 +73,15 @@
 
 @attrs.define(eq=False)
 class Dispatcher:
-    """Queue and servers of one service in one region; decides which request gets which server.
+    """Grants the slots of one shard, which is one service in one region.
 
     Args:
-        retry_budget: Limits retries.
+        retry_budget: Limits the retries of the shard's requests.
 
     Attributes:
-        paused: Whether all requests are queued, even if slots appear free, because not every
-            slot in use has been reported yet.
+        paused: Whether no slot is granted, even if some appear free, because not every slot in
+            use has been reported yet. Requests are queued meanwhile.
+        pool: The servers whose slots are granted.
     """
 
     retry_budget: retry_budget.RetryBudget
@@ -96,12 +98,12 @@
         return len(self._queue)
 
     def collect_demand(self) -> float:
-        """Return the slot-seconds requested since the last call, and reset the count."""
+        """Return the slot-seconds requested since the last call, except by retries."""
         demand, self._demand_s = self._demand_s, 0.0
         return demand
 
     def submit(self, request: allocation.SlotRequest, now: float) -> list[Decision]:
-        """Refuse or queue a request; return all decisions that can be made now.
+        """Refuse or queue a request; return the decisions that result.
 
         Args:
             request: The slot request.
@@ -115,7 +117,7 @@
             self.retry_budget.count_request(now)
             self._demand_s += expected_work_s
         queued = _QueuedRequest(request, now, expected_work_s, late=False)
-        queued.late = self._will_miss_target(queued, now)
+        queued.late = self._may_miss_target(queued, now)
         refusal = None if self.paused else self._refuse_on_arrival(queued, now)
         if refusal is not None:
             return [refusal]
@@ -139,7 +141,7 @@
     def register_running(
         self, request: allocation.SlotRequest, server: ids.Server, now: float
     ) -> None:
-        """Count a request that the shard's previous dispatcher granted a slot."""
+        """Occupy the slot that the shard's previous dispatcher granted to a request."""
         pooled = self.pool.get(server)
         if pooled is not None and request.id not in pooled.running:
             pooled.start(request, self._estimate_work_s(request) * pooled.slowness(now), now)
@@ -179,10 +181,11 @@
         if not self._queue or self.paused:
             return decisions
         for queued in self._queue:
-            if not queued.late and self._will_miss_target(queued, now):
+            if not queued.late and self._may_miss_target(queued, now):
                 queued.late = True
         self._queue.sort(key=lambda queued: queued.sort_key)
         self._reserved_s.clear()
+        # In queue order, so if any of these requests is in time, the first one is.
         remaining: list[_QueuedRequest] = []
         free = [
             server
@@ -207,8 +210,11 @@
         return decisions
 
     def _estimate_work_s(self, request: allocation.SlotRequest) -> float:
-        """Return the expected work time at the server that used the object most recently."""
-        key = work_times.object_key(request.route, request.object_key)
+        """Return the expected work time in seconds, without the slowness of any server.
+
+        It is estimated for the server where the request's object has the lowest depth.
+        """
+        key = work_times.qualified_key(request.route, request.object_key)
         depth: int | None = None
         if key is not None:
             depths = [server.recent_objects.depth(key) for server in self.pool.holders(key)]
@@ -219,15 +225,15 @@
     def _refuse_on_arrival(
         self, queued: _QueuedRequest, now: float
     ) -> allocation.SlotRefusal | None:
-        """Return a refusal if the expected wait is too long for the request, else None."""
+        """Return a refusal if no server is eligible or the wait is too long, else None."""
         request = queued.request
-        usable = [s for s in self.pool.servers if _is_eligible(s, request)]
-        if not usable:
+        eligible = [s for s in self.pool.servers if _is_eligible(s, request)]
+        if not eligible:
             return self._refusal(request, codes.Code.NO_BACKEND, now)
-        if any(server.free_slots(now) and server.cold_rate_allows(now) for server in usable):
+        if any(server.free_slots(now) and server.cold_rate_allows(now) for server in eligible):
             return None
         ahead = [other for other in self._queue if other.sort_key <= queued.sort_key]
-        wait_s = self._expected_wait_s(ahead, usable, now)
+        wait_s = self._expected_wait_s(ahead, eligible, now)
         if queued.late:
             late_count = sum(1 for other in self._queue if other.late)
             below_limit = late_count < max(1, _MAX_LATE_SHARE * self.pool.slots)
@@ -243,47 +249,56 @@
     def _expected_wait_s(
         self,
         ahead: Iterable[_QueuedRequest],
-        usable: list[server_pool.PooledServer],
+        eligible: list[server_pool.PooledServer],
         now: float,
     ) -> float:
-        """Return the expected seconds until a slot is free after the requests ahead."""
-        slots = sum(max(0, server.slots - server.unavailable_slots) for server in usable)
+        """Return the expected wait of a request in seconds.
+
+        Args:
+            ahead: Queued requests that are served before it.
+            eligible: Servers that may run it.
+            now: Monotonic time in seconds.
+        """
+        slots = sum(max(0, server.slots - server.unavailable_slots) for server in eligible)
         if slots <= 0:
             return math.inf
-        first_s = min(server.next_free_s(now) for server in usable)
+        first_s = min(server.next_free_s(now) for server in eligible)
         return first_s + sum(other.expected_work_s for other in ahead) / slots
 
     def _high_work_s(self, queued: _QueuedRequest) -> float:
         """Return a work time in seconds that few requests of this kind exceed."""
         return queued.expected_work_s * self._times.high_ratio(queued.request.route)
 
-    def _will_miss_target(self, queued: _QueuedRequest, now: float) -> bool:
-        """Return whether the request may miss its target even if it starts now."""
+    def _may_miss_target(self, queued: _QueuedRequest, now: float) -> bool:
+        """Return whether the request may miss its target even if it starts now.
+
+        This assumes a work time that few requests exceed, not the expected one.
+        """
         return now + self._high_work_s(queued) > queued.request.target_at
 
     def _should_drop(self, queued: _QueuedRequest, others_in_time: bool, now: float) -> bool:
-        """Return whether a late request must leave the queue.
+        """Return whether a late request must be refused instead of staying in the queue.
 
-        It leaves when requests that can still meet their targets wait for a slot too, or when
-        it would miss its deadline even if it started now.
+        It is refused if requests that can still meet their targets stay queued, or if it would
+        miss its deadline even if it started now.
         """
         return others_in_time or now + queued.expected_work_s > queued.request.deadline_at
 
     def _choose_server(
         self, queued: _QueuedRequest, free: list[server_pool.PooledServer], now: float
     ) -> _Candidate | None:
-        """Return the server to run a request now, or None to keep it queued.
+        """Return the server to start a request on now, or None if it must wait.
 
         Args:
             queued: The request.
-            free: Servers with a free slot.
+            free: Servers that can start a request now.
             now: Monotonic time in seconds.
         """
         request = queued.request
         eligible = [server for server in free if _is_eligible(server, request)]
         if not eligible:
             return None
-        key = work_times.object_key(request.route, request.object_key)
+        key = work_times.qualified_key(request.route, request.object_key)
         holders = self.pool.holders(key) if key is not None else []
         holders = [server for server in holders if _is_eligible(server, request)]
         candidates = [self._evaluate(request, server, key, now) for server in holders]
@@ -305,9 +320,9 @@
         best = min(candidates, key=lambda candidate: candidate.cost)
         if best.wait_s <= 0:
             return best
-        # The best server is busy. Wait for it if the answer will still be in time; otherwise
-        # use a free server. A free server that would answer late is used only while no other
-        # queued request needs the slot.
+        # The best server is busy. Wait for it if the response will still be in time; otherwise
+        # use a free server. While free servers are no more than the requests in the queue,
+        # other requests need them, so use only one that is likely to respond in time.
         high_ratio = self._times.high_ratio(request.route)
         if now + best.wait_s + best.work_s * high_ratio <= request.target_at:
             self._reserve(best)
@@ -321,7 +336,7 @@
         return min(ready, key=lambda candidate: candidate.cost)
 
     def _reserve(self, candidate: _Candidate) -> None:
-        """Add the expected work of a request that waits for this server."""
+        """Record that a request waits for this server, so that others expect a longer wait."""
         reserved_s = self._reserved_s.get(candidate.server.name, 0.0)
         self._reserved_s[candidate.server.name] = reserved_s + candidate.work_s
 
@@ -348,17 +363,17 @@
         return _Candidate(server, wait_s, work_s, cost)
 
     def _health_penalty(self, server: server_pool.PooledServer, now: float) -> float:
-        """Return about how many seconds worse than a healthy server this one is."""
+        """Return the cost of slowness and failures, as a multiple of a request's work time."""
         return (server.slowness(now) - 1.0) + server.failure_share * _FAILURE_PENALTY
 
     def _grant(
         self, queued: _QueuedRequest, candidate: _Candidate, now: float
     ) -> allocation.SlotGrant:
-        """Start a request on a server and return its grant."""
+        """Occupy a slot of a server with a request, and return the grant."""
         request = queued.request
         server = candidate.server
         server.start(request, candidate.work_s, now)
-        key = work_times.object_key(request.route, request.object_key)
+        key = work_times.qualified_key(request.route, request.object_key)
         if key is not None:
             self.pool.record_object(server, key)
         return allocation.SlotGrant(
@@ -368,7 +383,10 @@
     def _refusal(
         self, request: allocation.SlotRequest, code: codes.Code, now: float
     ) -> allocation.SlotRefusal:
-        """Return a refusal that says how long the queue is expected to last."""
+        """Return a refusal, with the time to retry after.
+
+        This is the expected time to empty the present queue, within fixed limits.
+        """
         slots = max(1, self.pool.slots)
         backlog_s = sum(queued.expected_work_s for queued in self._queue) / slots
         retry_after_s = min(_MAX_RETRY_AFTER_S, max(_MIN_RETRY_AFTER_S, backlog_s))
--- a/src/carobhook/coordination/retry_budget.py
+++ b/src/carobhook/coordination/retry_budget.py
@@ -1,4 +1,4 @@
-"""Limits how often the requests for a service are sent again."""
+"""Limits how many requests for a service are sent to a server again."""
 
 import collections
 import math
@@ -6,13 +6,13 @@
 import attrs
 
 _BUCKET_S = 0.5
-# Share of the slack that a new budget may use at once.
+# Share of the slack that a new budget may use at once; the rest is added over a window.
 _INITIAL_SLACK_SHARE = 0.1
 
 
 @attrs.define
 class _SlidingWindow:
-    """Counts events in the last seconds, in buckets of `_BUCKET_S`."""
+    """Counts the events of the last `length_s` seconds, to the precision of `_BUCKET_S`."""
 
     length_s: float
     _buckets: collections.deque[list[float]] = attrs.field(
@@ -48,7 +48,8 @@
         started_at: Monotonic time in seconds at which this budget began to count. Another
             instance may have used its slack just before, so the slack of this one grows to its
             full size over a window.
-        share: Share of the slack that this budget may use while others may count too.
+        share: Share of the slack that this budget may use. It is below 1 while other instances
+            may have a budget for the same requests.
     """
 
     ratio: float
@@ -77,10 +78,10 @@
         Args:
             now: Monotonic time in seconds.
         """
-        gained = min(
+        slack_share = min(
             1.0, _INITIAL_SLACK_SHARE + max(0.0, now - self.started_at) / self.window_s
         )
-        slack = self.slack * self.share * gained
+        slack = self.slack * self.share * slack_share
         allowed = self.ratio * self._requests.total(now) + slack
         if self._retries.total(now) + 1 > allowed:
             return False
--- a/src/carobhook/coordination/server_pool.py
+++ b/src/carobhook/coordination/server_pool.py
@@ -1,4 +1,4 @@
-"""Slots and health of the backend servers that one dispatcher sends requests to."""
+"""Slots and health of the backend servers whose slots one dispatcher grants."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -15,11 +15,14 @@
 # Weights of the latest sample in the moving averages of failures and of slowness.
 _FAILURE_WEIGHT = 0.15
 _SLOWNESS_WEIGHT = 0.25
-# Without new answers, the observed slowness counts half as much after this time, so that a
-# server that is avoided as slow gets requests again.
+# Without new responses, the observed slowness counts half as much after this time. Otherwise a
+# server that is avoided as slow would get no requests that could show that it is fast again.
 _SLOWNESS_HALF_LIFE_S = 3.0
+# Lower and upper limit of a sample of slowness.
 _SLOWNESS_RANGE = (0.5, 8.0)
+# A server that reported that it is overloaded gets no requests for this long.
 _SHED_PAUSE_S = 0.15
+# Requests that one dispatcher may send to a cold server at once.
 _COLD_BURST = 2.0
 
 
@@ -29,12 +32,13 @@
     Load pattern: the instances are partitioned while a server is cold, and each partition runs
     its own dispatcher. While a partition forms or heals, two dispatchers may overlap for a
     moment, so each is limited to half of what the server may get at most, less a burst. In a
-    partition that lasts, each one's share of the rate is the share of instances that it sees.
+    partition that lasts, the rate of each dispatcher is also multiplied by the fraction of
+    instances that are live in its partition.
 
     Args:
         configured_per_s: Requests a second that a cold server can handle.
-        max_per_s: Requests in one second that it may get from all instances.
-        visible: Share of the region's instances that this instance sees.
+        max_per_s: Most requests that it may get from all instances within one second.
+        visible: Fraction of the region's recently known instances that are live.
     """
     return max(1.0, min(configured_per_s, max_per_s / 2 - _COLD_BURST)) * visible
 
@@ -44,10 +48,11 @@
     """A server that a pool may use, and how many of its slots.
 
     Attributes:
-        view: The server's entry in the store.
+        view: The server's entry in the store, and the end of its cold time.
         region: Its region.
-        slots: Slots that the pool may use.
-        cold_rate: Requests a second that it may get while it is cold, or None for no limit.
+        slots: Number of its slots that the pool may use.
+        cold_rate: Requests a second that the pool may send it while it is cold, or None for no
+            limit.
     """
 
     view: catalog.ServerView
@@ -65,7 +70,7 @@
         depth: Depth of its object at the server when the slot was granted.
         started_at: Monotonic time in seconds of the grant.
         expected_s: Seconds that the server was expected to work.
-        slowness: Factor of the server's slowness that `expected_s` includes.
+        slowness: Slowness of the server at the grant, a factor that `expected_s` includes.
     """
 
     route: str
@@ -80,14 +85,15 @@
     """One server of a pool, with its running requests and its observed health.
 
     Attributes:
-        view: The server's entry in the store.
+        view: The server's entry in the store, and the end of its cold time.
         region: Its region.
-        slots: Slots assigned to this pool.
+        slots: Number of its slots that the pool may use, before `unavailable_slots` are
+            subtracted.
         cold_bucket: Limits requests while the server is cold; None for no limit.
         running: Requests that occupy a slot, by id.
-        recent_objects: Objects that it was recently sent requests for.
-        unavailable_slots: Slots of these that must stay free here, because other regions may
-            use them or an order withholds them.
+        recent_objects: Objects of the requests that it got most recently.
+        unavailable_slots: Number of `slots` that must not be granted for now, because other
+            regions may use them or an order withholds them.
     """
 
     view: catalog.ServerView
@@ -99,7 +105,7 @@
         factory=work_times.RecentObjects, init=False
     )
     unavailable_slots: int = attrs.field(default=0, init=False)
-    _consecutive_failures: int = attrs.field(default=0, init=False)
+    _connection_failures: int = attrs.field(default=0, init=False)
     _paused_until: float = attrs.field(default=-math.inf, init=False)
     _failure_share: float = attrs.field(default=0.0, init=False)
     _slowness: float = attrs.field(default=1.0, init=False)
@@ -112,17 +118,19 @@
 
     @property
     def failure_share(self) -> float:
-        """Return the moving average of failures among its answers, from 0 to 1."""
+        """Return the moving average of failures among its responses, from 0 to 1."""
         return self._failure_share
 
     @property
     def is_suspect(self) -> bool:
-        """Return whether it failed to answer and has not answered since."""
-        return self._consecutive_failures > 0
+        """Return whether a connection to it failed and it has not responded since."""
+        return self._connection_failures > 0
 
     def update(self, offer: ServerOffer, now: float) -> None:
         """Update the store entry, the slots and the cold rate.
 
+        An offer without a cold rate leaves an earlier rate as it is.
+
         Args:
             offer: The new values.
             now: Monotonic time in seconds.
@@ -140,14 +148,15 @@
     def free_slots(self, now: float) -> int:
         """Return the number of free slots.
 
-        A paused server has none. After a failure, a server has one slot until it answers.
+        A paused server has none. After a failed connection, a server runs only one request at
+        a time until it responds.
 
         Args:
             now: Monotonic time in seconds.
         """
         if now < self._paused_until:
             return 0
-        slots = 1 if self._consecutive_failures else self.slots - self.unavailable_slots
+        slots = 1 if self._connection_failures else self.slots - self.unavailable_slots
         return max(0, slots - len(self.running))
 
     def cold_rate_allows(self, now: float) -> bool:
@@ -163,7 +172,7 @@
         return 1.0 + (self._slowness - 1.0) * decay
 
     def next_free_s(self, now: float) -> float:
-        """Return the expected seconds until a slot is free."""
+        """Return the expected seconds until the pause or a request ends; 0 if there is none."""
         if now < self._paused_until:
             return self._paused_until - now
         ends = [run.started_at + run.expected_s - now for run in self.running.values()]
@@ -173,7 +182,7 @@
         self, request: allocation.SlotRequest, expected_s: float, now: float
     ) -> int | None:
         """Occupy a slot with a request; return the depth that its object had before."""
-        key = work_times.object_key(request.route, request.object_key)
+        key = work_times.qualified_key(request.route, request.object_key)
         depth = None
         if key is not None:
             depth = self.recent_objects.depth(key)
@@ -204,17 +213,18 @@
         if outcome is allocation.AttemptOutcome.CANCELLED:
             return
         if outcome in (allocation.AttemptOutcome.UNREACHABLE, allocation.AttemptOutcome.BROKEN):
-            # Requests that ran at the same time often fail together, so they count as one.
-            if run.started_at >= self._paused_until or self._consecutive_failures == 0:
-                self._consecutive_failures += 1
+            # Requests that ran at the same time often fail together. They count as one failure;
+            # otherwise each of them would double the pause.
+            if run.started_at >= self._paused_until or self._connection_failures == 0:
+                self._connection_failures += 1
                 pause_s = min(
-                    _MAX_PAUSE_S, _FIRST_PAUSE_S * 2.0 ** (self._consecutive_failures - 1)
+                    _MAX_PAUSE_S, _FIRST_PAUSE_S * 2.0 ** (self._connection_failures - 1)
                 )
                 self._paused_until = now + pause_s
             if outcome is allocation.AttemptOutcome.UNREACHABLE:
                 self.recent_objects.clear()
             return
-        self._consecutive_failures = 0
+        self._connection_failures = 0
         if outcome is allocation.AttemptOutcome.MISDIRECTED:
             self._paused_until = now + _MAX_PAUSE_S
             return
@@ -225,7 +235,8 @@
         self._update_failure_share(1.0 if outcome is allocation.AttemptOutcome.FAILED else 0.0)
         if outcome is allocation.AttemptOutcome.ANSWERED and has_samples and run.expected_s > 0:
             elapsed_s = now - run.started_at
-            # The expected time includes the slowness known at the grant; this takes it out.
+            # The expected time includes the slowness at the grant. Multiplying by it compares
+            # the elapsed time with the time that was expected without slowness.
             ratio = elapsed_s * run.slowness / run.expected_s
             low, high = _SLOWNESS_RANGE
             current = self.slowness(now)
@@ -238,7 +249,7 @@
 
 @attrs.define
 class ServerPool:
-    """The servers that one dispatcher sends requests to."""
+    """The servers whose slots one dispatcher grants."""
 
     _servers: dict[ids.Server, PooledServer] = attrs.field(factory=dict, init=False)
     _holders: dict[str, set[ids.Server]] = attrs.field(factory=dict, init=False)
@@ -254,7 +265,7 @@
 
     @property
     def slots(self) -> int:
-        """Return the number of slots that this pool may use."""
+        """Return the number of slots that may be granted, including those in use."""
         return sum(
             max(0, server.slots - server.unavailable_slots) for server in self._servers.values()
         )
@@ -265,17 +276,19 @@
         return sum(len(server.running) for server in self._servers.values())
 
     def holders(self, key: str) -> list[PooledServer]:
-        """Return the servers that were sent requests for an object.
+        """Return the servers that got requests for an object.
 
-        Some may have had so many other objects since that they no longer list this one.
+        Some may have got so many other objects since that the object is no longer one of their
+        recent ones.
         """
         names = self._holders.get(key, ())
         return [self._servers[name] for name in names if name in self._servers]
 
     def record_object(self, server: PooledServer, key: str) -> None:
-        """Record that a server was sent a request for an object."""
+        """Record that a server got a request for an object."""
         self._holders.setdefault(key, set()).add(server.name)
-        # Entries of objects that servers no longer list remain until the index is rebuilt.
+        # The index keeps objects that are no longer among the recent ones of any server. It is
+        # rebuilt when it becomes too long; otherwise it would grow without limit.
         if len(self._holders) > 4 * work_times.MAX_OBJECTS * max(1, len(self._servers)):
             self._rebuild_holders()
 
@@ -286,7 +299,7 @@
                 self._holders.setdefault(key, set()).add(server.name)
 
     def replace(self, offers: Iterable[ServerOffer], now: float) -> None:
-        """Replace the list of servers.
+        """Replace the servers of the pool.
 
         Servers that remain keep their state, unless they were restarted.
 
@@ -304,10 +317,10 @@
         self._servers = servers
 
     def set_unavailable_slots(self, counts: Mapping[ids.Server, int]) -> None:
-        """Set how many slots of each server must stay free here.
+        """Set how many slots of each server must not be granted.
 
         Args:
-            counts: Slots by server; 0 for servers that are missing.
+            counts: Number of slots by server; a server that is missing has none.
         """
         for server in self._servers.values():
             server.unavailable_slots = counts.get(server.name, 0)
--- a/src/carobhook/coordination/slot_loans.py
+++ b/src/carobhook/coordination/slot_loans.py
@@ -12,15 +12,16 @@
 from carobhook.state import ids
 
 # A region needs enough slots that its demand keeps only this share of them busy; with fewer,
-# requests begin to queue. It needs some more on top, because demand varies more, compared with
-# its mean, when it is small.
+# requests begin to queue.
 _TARGET_UTILIZATION = 0.55
+# Slots that a region needs in addition. Small demand varies more, relative to its mean, than
+# large demand, so a share alone would give too few slots.
 _EXTRA_SLOTS = 1.5
 # A loan stays as it is while it is within this many slots of its target. Otherwise small
 # changes of demand would move slots back and forth.
 _HYSTERESIS_SLOTS = 0.7
-# Within this time the borrower has received the recall, and has reported which of the recalled
-# slots are still running requests.
+# Recalled slots are not granted for this long. Within this time the borrower has received the
+# recall, and has reported which of the slots are still running requests.
 _RECALL_S = 0.7
 
 
@@ -30,8 +31,8 @@
 
     Attributes:
         slots: Usable slots of its own servers.
-        demand: Slots that its clients' requests keep busy at their current rate, or None while
-            it has had no requests.
+        demand: Moving average of the slots that its clients' requests need, or None before the
+            first request.
     """
 
     slots: float
@@ -39,35 +40,37 @@
 
 
 def target_loans(
-    own: ids.Region, loads: Mapping[ids.Region, RegionLoad]
+    lender: ids.Region, loads: Mapping[ids.Region, RegionLoad]
 ) -> dict[ids.Region, float]:
     """Return how many slots a region should lend to each other region.
 
     Args:
-        own: The lending region.
-        loads: Loads of all regions with a recent report, including the lending one.
+        lender: The lending region.
+        loads: Loads of all regions with a recent report, including the lender.
     """
-    total = sum(load.slots for load in loads.values())
-    needs = {region: _needed_slots(load, total / len(loads)) for region, load in loads.items()}
-    total_need = sum(needs.values())
-    if total_need > total > 0:
-        needs = {region: need * total / total_need for region, need in needs.items()}
+    total_slots = sum(load.slots for load in loads.values())
+    needs = {
+        region: _needed_slots(load, total_slots / len(loads)) for region, load in loads.items()
+    }
+    total_needed = sum(needs.values())
+    if total_needed > total_slots > 0:
+        needs = {region: need * total_slots / total_needed for region, need in needs.items()}
     spare = {region: max(0.0, loads[region].slots - needs[region]) for region in loads}
     shortfalls = {region: max(0.0, needs[region] - loads[region].slots) for region in loads}
     total_spare = sum(spare.values())
-    if total_spare <= 0 or spare.get(own, 0.0) <= 0:
+    if total_spare <= 0 or spare.get(lender, 0.0) <= 0:
         return {}
     covered_share = min(1.0, total_spare / max(1e-9, sum(shortfalls.values())))
-    own_share = spare[own] / total_spare
+    lender_share = spare[lender] / total_spare
     return {
-        region: shortfall * covered_share * own_share
+        region: shortfall * covered_share * lender_share
         for region, shortfall in shortfalls.items()
         if shortfall > 0
     }
 
 
 def _needed_slots(load: RegionLoad, equal_share: float) -> float:
-    """Return the slots that a region needs; its equal share if it had no requests yet."""
+    """Return the slots that a region needs; an equal share of all before its first request."""
     if load.demand is None:
         return equal_share
     return load.demand / _TARGET_UTILIZATION + _EXTRA_SLOTS
@@ -75,7 +78,9 @@
 
 @attrs.define
 class LoanController:
-    """Moves the whole slots that a region lends toward their targets in limited steps.
+    """Moves the numbers of slots that a region lends toward their targets in limited steps.
+
+    Targets may be fractions, but only whole slots are lent.
 
     Attributes:
         step: Largest change of the loan to one region per update, as a share of the borrower's
@@ -95,12 +100,12 @@
     ) -> None:
         """Move each loan one step toward its target.
 
-        Before a borrower's first request its loan moves to the target at once, because no
-        requests move with it.
+        Before a borrower's first request its loan is set to the target at once, because no
+        load shifts with it.
 
         Args:
             targets: Result of `target_loans`.
-            loads: Loads of the regions with a recent report; loans to others end.
+            loads: Loads of the regions with a recent report. A loan to any other region ends.
         """
         updated: dict[ids.Region, int] = {}
         for region in {*targets, *self._lent} & set(loads):
@@ -147,7 +152,7 @@
         after: Mapping[ids.Region, Mapping[ids.Server, int]],
         now: float,
     ) -> None:
-        """Add the slots that a change of loans takes back.
+        """Add the slots that a change of the loans recalls.
 
         Args:
             before: The loans before the change.
@@ -161,7 +166,7 @@
                     self._pending.append((now + _RECALL_S, server, recalled))
 
     def expire(self, now: float) -> None:
-        """Remove the slots that the borrower has had time to give back.
+        """Remove the slots whose recall is so long ago that they may be granted again.
 
         Args:
             now: Monotonic time in seconds.
@@ -176,8 +181,8 @@
 ) -> dict[ids.Region, dict[ids.Server, int]]:
     """Return how many slots of each server are lent to each region.
 
-    A server works faster on objects that it handled recently. So slots that were lent before
-    are lent again first, and each loan uses few servers.
+    Slots that are lent already are lent to the same region again first, and each loan uses few
+    servers, because a server works faster on objects that it handled recently.
 
     Args:
         lent: Slots lent to each region.
@@ -208,7 +213,7 @@
         missing: Slots that each region's loan still lacks; reduced.
         region: The borrowing region.
         loaned: Its loan, by server; extended.
-        limits: Largest number of slots to add of each server.
+        limits: Largest number of slots to add from each server.
     """
     for server, limit in limits.items():
         added = min(available.get(server, 0), missing[region], limit)
--- a/src/carobhook/coordination/smooth_round_robin.py
+++ b/src/carobhook/coordination/smooth_round_robin.py
@@ -1,4 +1,4 @@
-"""Smooth weighted round-robin: any few consecutive choices already follow the weights."""
+"""Smooth weighted round-robin: even a short run of choices follows the weights."""
 
 import typing
 from collections.abc import Hashable, Mapping
@@ -23,8 +23,8 @@
         """Return the next item.
 
         Args:
-            key: Key of the rotation; each has its own state.
-            weights: Weight of each item; between items with equal credit, the first is chosen.
+            key: Key of the rotation. Choices for one key don't depend on those for others.
+            weights: Weight of each item. Between items with equal credit, the first is chosen.
         """
         before = self._credits.get(key, {})
         credits_ = {item: before.get(item, 0.0) + weight for item, weight in weights.items()}
--- a/src/carobhook/coordination/token_bucket.py
+++ b/src/carobhook/coordination/token_bucket.py
@@ -1,4 +1,4 @@
-"""Token bucket that limits calls to a rate with a burst, at times given by the caller."""
+"""Token bucket that limits calls to a rate with a burst; callers pass the current time."""
 
 import attrs
 from attrs import validators
--- a/src/carobhook/coordination/work_times.py
+++ b/src/carobhook/coordination/work_times.py
@@ -6,16 +6,20 @@
 
 import attrs
 
-# Upper ends of the depth classes. An object's depth at a server is the number of other objects
-# that the server has handled since.
+# Exclusive upper ends of the depth classes. An object's depth at a server is the number of
+# other objects that the server has handled since it last handled this one.
 _DEPTH_CLASS_ENDS = (4, 8, 12, 16, 20, 24, 28, 32, 40, 48, 56, 64, 80, 96, 128)
-# Class of objects that the server has not handled, or so long ago that it is no longer known.
+# Class of objects that are not recorded for the server: it has not handled them, or so long ago
+# that they were removed.
 _UNKNOWN_DEPTH = len(_DEPTH_CLASS_ENDS)
+# Least weight of the latest sample in a moving mean.
 _MEAN_WEIGHT = 0.1
 # Assumed work time for an object that the server handled recently, as a share of the time for
 # one that it did not.
 _DEFAULT_WARM_SHARE = 0.5
+# A value that few samples exceed is this many mean absolute deviations above the mean.
 _HIGH_DEVIATIONS = 1.5
+# Number of recent objects recorded for each server.
 MAX_OBJECTS = _DEPTH_CLASS_ENDS[-1]
 
 
@@ -42,7 +46,7 @@
         return self._order.popitem(last=False)[0]
 
     def depth(self, key: str) -> int | None:
-        """Return how many other objects were handled since, or None for an unknown object."""
+        """Return how many other objects were handled since, or None if it is not recorded."""
         if key not in self._order:
             return None
         for depth, other in enumerate(reversed(self._order)):
@@ -84,8 +88,9 @@
     """Mean work times of each route, in seconds, by the depth of the object at the server.
 
     Load pattern: a server works three times as fast on an object that it handled recently, but
-    it doesn't report how many objects it keeps. With one mean for each class of depth, the
-    limit shows in the measured times. A class without samples uses the nearest class that has
+    it doesn't report how many objects it keeps in memory. A separate mean for each class of
+    depth needs no such number: the means are higher from the depth on at which objects are no
+    longer in memory. A class of a known depth without samples uses the nearest one that has
     some.
     """
 
@@ -96,9 +101,9 @@
 
         Args:
             route: Name of the route.
-            depth: Number of other objects that the server has handled since, or None if this
-                one is unknown there.
-            default_s: Work time to assume while there are no samples.
+            depth: Depth of the object at the server, or None if it is not recorded there.
+            default_s: Work time to assume for an object of unknown depth while there are no
+                samples.
         """
         means = self._means.get(route)
         if means is None:
@@ -132,7 +137,8 @@
         Args:
             route: Name of the route.
             depth: Depth of the object when the request was sent.
-            elapsed_s: Seconds from sending the request to the complete answer.
+            elapsed_s: Seconds from the grant of the slot to its release, divided by the
+                slowness of the server.
         """
         means = self._means.setdefault(
             route, [_MovingMean() for _ in range(_UNKNOWN_DEPTH + 1)]
@@ -148,7 +154,7 @@
     )
 
 
-def object_key(route: str, key: str | None) -> str | None:
+def qualified_key(route: str, key: str | None) -> str | None:
     """Return a key that is unique among the objects of all routes, or None without an object.
 
     Args:
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of carobhook.coordination.dispatcher, some of which replay generated loads."""
+"""Tests of carobhook.coordination.dispatcher, some of which simulate loads."""
 
 import heapq
 import random
@@ -19,7 +19,7 @@
 
 
 def offer(name, slots=2, region=HOME, cold_until=0.0, cold_rate=None, started_at_ms=None):
-    """Return a ready server with its slots, as a pool takes it."""
+    """Return an offer of a ready server's slots to a pool."""
     entry = servers.ServerEntry(
         ids.Server(name),
         SERVICE,
@@ -36,7 +36,7 @@
 
 
 def make_dispatcher(*offers, ratio=10.0, slack=10.0):
-    """Return a dispatcher whose pool has the offered servers."""
+    """Return a dispatcher with a pool of the offered servers."""
     budget = retry_budget.RetryBudget(ratio, slack, 10.0)
     dispatcher_ = dispatcher.Dispatcher(budget)
     dispatcher_.pool.replace(offers, 0.0)
@@ -124,7 +124,7 @@
         assert [d.ask_id for d in decisions] == ["r2"]
 
     def test_late_request_is_served_while_no_other_waits(self):
-        """A late answer is better than none, if no other request needs the slot."""
+        """A late response is better than none, if no other request needs the slot."""
         dispatcher_ = make_dispatcher(offer("a", slots=1))
         dispatcher_.submit(make_request(1), 0.0)
         dispatcher_.submit(make_request(2, target_s=0.7), 0.0)
@@ -146,7 +146,7 @@
         assert granted_ids(decisions) == ["r3"]
 
     def test_repeats_are_bounded(self):
-        """Once the retry budget is used up, a retry is refused as not run."""
+        """Once the retry budget is used up, retries are refused with a code of their own."""
         dispatcher_ = make_dispatcher(offer("a", slots=9), ratio=0.1, slack=1.0)
         dispatcher_.submit(make_request(1), 0.0)
         assert granted_ids(dispatcher_.submit(make_request(2, repeat=True), 0.0)) == ["r2"]
@@ -158,7 +158,7 @@
     """Servers that fail, or are cold."""
 
     def test_broken_server_is_paused(self):
-        """After a broken connection a server gets no requests, and later one at a time."""
+        """After a broken connection a server gets no requests, and then one at a time."""
         dispatcher_ = make_dispatcher(offer("a"))
         dispatcher_.submit(make_request(1), 0.0)
         dispatcher_.release_slot(
@@ -169,7 +169,7 @@
         assert dispatcher_.submit(make_request(3, now=0.6), 0.6) == []
 
     def test_healthy_server_is_preferred_to_a_failing_one(self):
-        """A server that answers with failures is not chosen while a healthy one is free."""
+        """A server that responds with failures is not chosen while a healthy one is free."""
         dispatcher_ = make_dispatcher(offer("a", slots=4), offer("b", slots=4))
         for number in range(8):
             name = ids.RequestId(f"x{number}")
@@ -185,7 +185,7 @@
         assert first[0].server == "b"
 
     def test_cold_server_stays_within_its_rate(self):
-        """Within any second, a cold server gets no more than its rate and the burst."""
+        """Within any second, a cold server gets at most its rate, the burst and one more."""
         dispatcher_ = make_dispatcher(offer("a", slots=50, cold_until=10.0, cold_rate=5.0))
         times = []
         for number in range(200):
@@ -199,8 +199,8 @@
                         allocation.AttemptOutcome.ANSWERED,
                         now + 0.001,
                     )
-        most = max(sum(1 for t in times if start <= t < start + 1) for start in times)
-        assert most <= 5 + 2 + 1
+        max_per_s = max(sum(1 for t in times if start <= t < start + 1) for start in times)
+        assert max_per_s <= 5 + 2 + 1
 
 
 class TestObjectAffinity:
@@ -221,7 +221,7 @@
             )
 
 
-class LoadReplay:
+class LoadSimulation:
     """Simulates one dispatcher and its servers under random arrivals.
 
     Args:
@@ -293,38 +293,44 @@
                 name = decision.server
                 self.busy[name] += 1
                 self.max_busy = max(self.max_busy, self.busy[name])
-                key = self.object_keys[decision.ask_id]
-                warm = key in self.warm_objects[name]
-                self.warm_objects[name].add(key)
+                object_key = self.object_keys[decision.ask_id]
+                warm = object_key in self.warm_objects[name]
+                self.warm_objects[name].add(object_key)
                 work_s = (self.WARM_S if warm else self.COLD_S) * self.rng.uniform(0.8, 1.2)
                 heapq.heappush(events, (now + work_s, decision.ask_id, "end", name))
         return self
 
 
-class TestLoadReplays:
+class TestSimulatedLoads:
     """Simulated loads."""
 
     @pytest.mark.parametrize("seed", [1, 2, 3])
     def test_overload_keeps_throughput_and_slots(self, seed):
-        """At 2.5 times the capacity, 85 % of it is served in time and no slot is used twice."""
-        replay = LoadReplay(seed, 2.5).run()
-        capacity = replay.slots / LoadReplay.WARM_S * replay.length_s
-        assert replay.max_busy <= 4
-        assert replay.in_time >= 0.85 * capacity
-        assert replay.late <= 0.1 * replay.in_time
+        """At 2.5 times the capacity, 85 % of it is served in time.
+
+        No server gets more requests than it has slots, and at most a tenth as many requests are
+        served late as in time.
+        """
+        simulation = LoadSimulation(seed, 2.5).run()
+        capacity = simulation.slots / LoadSimulation.WARM_S * simulation.length_s
+        assert simulation.max_busy <= 4
+        assert simulation.in_time >= 0.85 * capacity
+        assert simulation.late <= 0.1 * simulation.in_time
 
     @pytest.mark.parametrize("seed", [1, 2, 3])
     def test_overload_refuses_early(self, seed):
         """At 2.5 times the capacity, 90 % of refusals come within an eighth of the target."""
-        replay = LoadReplay(seed, 2.5).run()
+        simulation = LoadSimulation(seed, 2.5).run()
         early = sum(
-            1 for delay_s in replay.refusal_delays_s if delay_s <= LoadReplay.TARGET_S / 8
+            1
+            for delay_s in simulation.refusal_delays_s
+            if delay_s <= LoadSimulation.TARGET_S / 8
         )
-        assert early >= 0.9 * len(replay.refusal_delays_s)
+        assert early >= 0.9 * len(simulation.refusal_delays_s)
 
     def test_half_load_is_served_in_time(self):
         """At half of the capacity, 95 % of requests are in time and none is refused."""
-        replay = LoadReplay(4, 0.5).run()
-        served = replay.in_time + replay.late
-        assert replay.refused == 0
-        assert replay.in_time >= 0.95 * served
+        simulation = LoadSimulation(4, 0.5).run()
+        served = simulation.in_time + simulation.late
+        assert simulation.refused == 0
+        assert simulation.in_time >= 0.95 * served
--- a/tests/test_global_limits.py
+++ b/tests/test_global_limits.py
@@ -32,8 +32,8 @@
         self.max_partitions = max_partitions
         self.sent_at = collections.defaultdict(list)
         for allocator in self.allocators.values():
-            known = allocator._catalog
-            known.replace_config_if_newer(
+            catalog = allocator._catalog
+            catalog.replace_config_if_newer(
                 routing.RoutingConfig(
                     2,
                     (),
@@ -45,8 +45,8 @@
                 )
             )
             for name in ("i-1", "i-2"):
-                entry = known.servers(0.0)[0].entry
-                known.put(attrs.evolve(entry, name=ids.Server(name), cold_s=1000.0), 0.0)
+                entry = catalog.servers(0.0)[0].entry
+                catalog.put(attrs.evolve(entry, name=ids.Server(name), cold_s=1000.0), 0.0)
             allocator.update_servers()
         self.request_count = 0
         self.retry_share = 0.0
@@ -131,11 +131,11 @@
             self.send_requests(self.rng.randint(0, 6))
             if self.rng.random() < 0.06:
                 self.repartition()
-        most = 0
+        max_per_s = 0
         for times in self.sent_at.values():
             for start in times:
-                most = max(most, sum(start <= at < start + 1.0 for at in times))
-        return most
+                max_per_s = max(max_per_s, sum(start <= at < start + 1.0 for at in times))
+        return max_per_s
 
 
 class TestRetries:
@@ -145,9 +145,9 @@
         """When 80 % of all requests are retries, the budget holds in every window."""
         for seed in range(SIMULATIONS // 10):
             simulation = PartitionSimulation(seed, 4)
-            for known in (allocator._catalog for allocator in simulation.allocators.values()):
-                for view in known.servers(0.0):
-                    known.put(attrs.evolve(view.entry, cold_s=0.0, started_at_ms=2), 0.0)
+            for catalog in (allocator._catalog for allocator in simulation.allocators.values()):
+                for view in catalog.servers(0.0):
+                    catalog.put(attrs.evolve(view.entry, cold_s=0.0, started_at_ms=2), 0.0)
             simulation.retry_share = 0.8
             for _ in range(250):
                 simulation.clock.advance(0.1)
--- a/tests/test_slot_loans.py
+++ b/tests/test_slot_loans.py
@@ -99,8 +99,8 @@
 class TestRecalledSlots:
     """Slots that were taken back from a borrower."""
 
-    def test_recalled_slot_is_held_back(self):
-        """The borrower may still use a recalled slot until it learns of the change."""
+    def test_recalled_slot_is_not_granted_yet(self):
+        """A recalled slot is not granted until the borrower has received the recall."""
         x = ids.Server("x")
         recalled = slot_loans.RecalledSlots()
         recalled.recall({A: {x: 3}}, {A: {x: 1}, C: {x: 1}}, 10.0)
@@ -111,7 +111,7 @@
         assert recalled.counts == {}
 
     def test_larger_loan_recalls_nothing(self):
-        """Only slots that are taken back are held back."""
+        """A change that takes no slots back leaves all of them to be granted."""
         x = ids.Server("x")
         recalled = slot_loans.RecalledSlots()
         recalled.recall({A: {x: 1}}, {A: {x: 3}}, 0.0)
