--- a/src/carobhook/protocol/client_api.py
+++ b/src/carobhook/protocol/client_api.py
@@ -1,8 +1,8 @@
-"""Carobhook's own HTTP interface for clients: look-ups, and requests to a named service.
+"""Carobhook's own HTTP interface for clients: lookups, and requests to a named service.
 
-Clients that do not know the routes name the service, in ``/v1/services/NAME/PATH`` at the
-address for requests. They send look-ups to ``/v1/lookup?region=R&failure_domain=D`` at the
-address of the directory.
+A client looks up the addresses of instances with ``/v1/lookup?region=R&failure_domain=D`` at
+the address of the directory. A client that does not know the routes can name a service instead:
+it sends the request to ``/v1/services/NAME/PATH`` at the address for requests.
 """
 
 import json
@@ -41,7 +41,7 @@
 
     Attributes:
         service: Name of the service.
-        head: Request head for the service, whose target lacks the ``/v1/services/NAME`` prefix.
+        head: Request head for the service; its target lacks the ``/v1/services/NAME`` prefix.
         repeatable: Whether the request may run more than once, which its method determines.
         priority: Rank that the client requests; 0 is the most urgent.
         time_left_s: Seconds that the client waits for the response, None if not given.
@@ -55,19 +55,19 @@
 
 
 def parse_lookup(target: bytes) -> Lookup | None:
-    """Return the look-up that a request target encodes, None for any other target."""
+    """Return the lookup that a request target encodes, None for any other target."""
     path, _, query = target.decode("latin-1").partition("?")
     if path != LOOKUP_PATH:
         return None
-    fields = dict(urllib.parse.parse_qsl(query))
+    parameters = dict(urllib.parse.parse_qsl(query))
     return Lookup(
-        ids.Region(fields.get("region", "")),
-        ids.FailureDomain(fields.get("failure_domain", "")),
+        ids.Region(parameters.get("region", "")),
+        ids.FailureDomain(parameters.get("failure_domain", "")),
     )
 
 
 def lookup_response(addresses: list[str], ttl_s: float) -> http1.Response:
-    """Return the response to a look-up; its status is 503 if there is no address.
+    """Return the response to a lookup; its status is 503 if there is no address.
 
     Args:
         addresses: Addresses for requests, ``host:port``, the preferred one first.
@@ -106,10 +106,11 @@
 
     Args:
         code: Result code.
-        may_have_run: Whether a server may have run the request, whatever the code says.
+        may_have_run: Whether a server may have run the request; if so, the reported run status
+            is "unknown" in place of the code's own.
     """
-    run = codes.RunStatus.UNKNOWN if may_have_run else code.run
+    run_status = codes.RunStatus.UNKNOWN if may_have_run else code.run
     return (
         (b"Carobhook-Code", str(code.number).encode()),
-        (b"Carobhook-Run", run.value.encode()),
+        (b"Carobhook-Run", run_status.value.encode()),
     )
--- a/src/carobhook/protocol/feed_messages.py
+++ b/src/carobhook/protocol/feed_messages.py
@@ -1,8 +1,8 @@
 """Messages of the feed, in which an instance forwards store objects to other instances.
 
 Normally one instance of a region watches the store, and the region's other instances subscribe
-to it. Revisions are those of the store; an instance tracks separately which revision it has
-reached for each kind of object.
+to it. A revision is a number that the store increases with each change. An instance records
+the revision that it has reached for each kind of object separately.
 """
 
 import attrs
@@ -55,7 +55,7 @@
         kind: Kind of the objects.
         since: Revision that the changes follow; a receiver that has not reached it must
             ignore the message, as it lacks earlier changes.
-        revision: Revision that the receiver reaches by the changes.
+        revision: Revision that the receiver has reached once it has applied the changes.
         items: Changed and removed objects.
     """
 
@@ -67,10 +67,10 @@
 
 @attrs.frozen
 class FeedProgress:
-    """Confirms that the store answers the sender, and which revisions the sender has forwarded.
+    """Confirms that the store answers the sender, and reports how far it forwarded the changes.
 
     Attributes:
-        revisions: Pairs of a kind and the revision up to which all its changes were sent.
+        revisions: Pairs of a kind and the revision up to which all changes to it were sent.
     """
 
     revisions: tuple[tuple[str, int], ...]
--- a/src/carobhook/protocol/framing.py
+++ b/src/carobhook/protocol/framing.py
@@ -13,14 +13,15 @@
 import msgpack
 
 MAX_FRAME_BYTES = 16 * 1024 * 1024
-# Initial buffer of each unpacker; it grows when a frame needs more.
+# Initial buffer of each unpacker, which grows when a frame needs more. msgpack's default is
+# 1 MiB, which every connection would occupy.
 _INITIAL_BUFFER_BYTES = 4 * 1024
 
 _Decoder = Callable[[typing.Any], typing.Any]
 
 
 class CodecError(Exception):
-    """A frame does not decode to a known message type."""
+    """A frame does not encode a valid message of a known type."""
 
 
 def unpacker(limit: int = MAX_FRAME_BYTES) -> msgpack.Unpacker:
@@ -37,8 +38,8 @@
 class MessageCodec:
     """Encodes and decodes messages of the given types.
 
-    A field may have a plain type, an enum, an attrs class, a tuple or a frozen set of these, or
-    any of them or None. Enums are encoded by their member names.
+    A field has a scalar type, an enum, an attrs class, a tuple or frozenset of these, or a
+    union of one of these with None. Enums are encoded by their member names.
 
     Args:
         types_: attrs classes of the messages by type tag.
@@ -99,6 +100,7 @@
 @functools.cache
 def _decoder(type_: typing.Any) -> _Decoder:
     """Return a function that decodes values of a type."""
+    # A NewType is decoded as the type that it wraps.
     while hasattr(type_, "__supertype__"):
         type_ = type_.__supertype__
     if attrs.has(type_):
@@ -108,7 +110,7 @@
     origin, arguments = typing.get_origin(type_), typing.get_args(type_)
     if origin in (typing.Union, types.UnionType):
         inner = _decoder(next(part for part in arguments if part is not type(None)))
-        return lambda plain: None if plain is None else inner(plain)
+        return lambda raw: None if raw is None else inner(raw)
     if origin in (tuple, frozenset):
         return _collection_decoder(origin, arguments)
     return _scalar_decoder(type_)
@@ -118,11 +120,11 @@
     hints = typing.get_type_hints(type_)
     decoders = [_decoder(hints[name]) for name in _field_names(type_)]
 
-    def decode(plain: typing.Any) -> typing.Any:
-        if not isinstance(plain, list) or len(plain) != len(decoders):
+    def decode(raw: typing.Any) -> typing.Any:
+        if not isinstance(raw, list) or len(raw) != len(decoders):
             raise ValueError(f"{type_.__name__} must have {len(decoders)} fields")
         return type_(
-            *(decode_item(item) for decode_item, item in zip(decoders, plain, strict=True))
+            *(decode_item(item) for decode_item, item in zip(decoders, raw, strict=True))
         )
 
     return decode
@@ -131,19 +133,19 @@
 def _collection_decoder(origin: typing.Any, arguments: tuple[typing.Any, ...]) -> _Decoder:
     if origin is tuple and (len(arguments) != 2 or arguments[1] is not Ellipsis):
         decoders = [_decoder(argument) for argument in arguments]
-        return lambda plain: tuple(
-            decode_item(item) for decode_item, item in zip(decoders, plain, strict=True)
+        return lambda raw: tuple(
+            decode_item(item) for decode_item, item in zip(decoders, raw, strict=True)
         )
     inner = _decoder(arguments[0])
-    return lambda plain: origin(inner(item) for item in plain)
+    return lambda raw: origin(inner(item) for item in raw)
 
 
 def _scalar_decoder(type_: typing.Any) -> _Decoder:
-    def decode(plain: typing.Any) -> typing.Any:
-        if type_ is float and isinstance(plain, int) and not isinstance(plain, bool):
-            return float(plain)
-        if not isinstance(plain, type_):
-            raise ValueError(f"expected {type_.__name__}, got {plain!r:.40}")
-        return plain
+    def decode(raw: typing.Any) -> typing.Any:
+        if type_ is float and isinstance(raw, int) and not isinstance(raw, bool):
+            return float(raw)
+        if not isinstance(raw, type_):
+            raise ValueError(f"expected {type_.__name__}, got {raw!r:.40}")
+        return raw
 
     return decode
--- a/src/carobhook/protocol/http1.py
+++ b/src/carobhook/protocol/http1.py
@@ -13,8 +13,9 @@
 _HEAD_END = b"\r\n\r\n"
 _REQUEST_LINE = re.compile(rb"[!-~]+ [!-~]+ HTTP/1\.[01]")
 _HEADER_LINE = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+:[\t -~\x80-\xff]*")
-# h11 applies this limit to a head and the data received behind it together, so it must be far
-# larger than a head. The size of request heads is limited before h11 sees them.
+# h11 rejects a head that is still incomplete at this size, so it must be far larger than any
+# valid head. It limits the heads of server responses; the size of request heads is limited
+# before h11 gets them, as complete heads.
 _H11_BUFFER_BYTES = 1024 * 1024
 
 Headers = tuple[tuple[bytes, bytes], ...]
@@ -110,7 +111,7 @@
 
 
 def check_head(head: bytes) -> None:
-    """Check that a request head is well-formed and cannot be read in two ways.
+    """Check that a request head is well-formed and that all parsers read it in the same way.
 
     Args:
         head: Complete head, including the empty line at its end.
@@ -151,13 +152,13 @@
 
 
 def header_seconds(head: RequestHead, name: str, max_ms: float) -> float | None:
-    """Return the value in seconds of a header in milliseconds, None without the header.
+    """Return the value of a header, converted from milliseconds to seconds, None without it.
 
     Args:
         head: Request head.
         name: Name of the header in lower case.
-        max_ms: Upper limit in milliseconds; a larger value is replaced by it, a negative one
-            by 0.
+        max_ms: Upper limit in milliseconds. A larger value is reduced to it, and a negative
+            one is replaced by 0.
 
     Raises:
         ValueError: The value is not a number.
@@ -198,8 +199,8 @@
 
     Args:
         response: Response. Its Content-Length is replaced by the length of the body, unless the
-            body is omitted.
-        with_body: Whether the body is sent; responses to HEAD requests have none.
+            body is omitted, and removed if the status is 204 or 304.
+        with_body: Whether the body is sent, as it must not be for a HEAD request.
         closing: Whether the connection is closed after the response.
     """
     lines = [b"HTTP/1.1 %d %s" % (response.status, response.reason)]
--- a/src/carobhook/protocol/language.py
+++ b/src/carobhook/protocol/language.py
@@ -10,7 +10,7 @@
 
 _SECONDS_PER_HOUR = 3600
 _SECONDS_PER_MINUTE = 60
-_DESCRIPTIONS = {
+_TERMINAL_DESCRIPTIONS = {
     "NAME": "a name",
     "ROUTE": "the name of a route",
     "INT": "a whole number",
@@ -40,8 +40,8 @@
     def _describe(self) -> str:
         if not self.word:
             return "the order ends too early"
-        near = difflib.get_close_matches(self.word, self.expected, n=1)
-        hint = f", did you mean {near[0]!r}?" if near else ""
+        matches = difflib.get_close_matches(self.word, self.expected, n=1)
+        hint = f", did you mean {matches[0]!r}?" if matches else ""
         return f"{self.word!r} is not understood here{hint}"
 
 
@@ -156,13 +156,13 @@
 
 
 _GRAMMAR = pathlib.Path(__file__).with_name("language.lark")
-_parser = lark.Lark(_GRAMMAR.read_text("utf-8"), parser="lalr", maybe_placeholders=True)
-_TERMINALS = {terminal.name: terminal.pattern for terminal in _parser.terminals}
+_PARSER = lark.Lark(_GRAMMAR.read_text("utf-8"), parser="lalr", maybe_placeholders=True)
+_TERMINALS = {terminal.name: terminal.pattern for terminal in _PARSER.terminals}
 _ENUM_TERMINALS = {"SUBJECT": statements.Subject, "SUBJECT_KIND": orders.DrainKind}
 
 
 def parse(text: str) -> statements.Statement:
-    """Return the statement that a text encodes.
+    """Return the statement that an operator wrote.
 
     Args:
         text: One query, command or dry run.
@@ -171,7 +171,7 @@
         StatementSyntaxError: The text has a syntax error.
     """
     try:
-        return _Builder().transform(_parser.parse(text))
+        return _Builder().transform(_PARSER.parse(text))
     except lark.exceptions.VisitError as error:
         raise error.orig_exc from error
     except lark.exceptions.UnexpectedInput as error:
@@ -185,7 +185,7 @@
         text: First words of a statement, each of them complete.
     """
     try:
-        interactive = _parser.parse_interactive(text)
+        interactive = _PARSER.parse_interactive(text)
         interactive.exhaust_lexer()
         return _expected_words(interactive.accepts())
     except lark.exceptions.UnexpectedInput:
@@ -193,6 +193,11 @@
 
 
 def _syntax_error(text: str, error: lark.exceptions.UnexpectedInput) -> StatementSyntaxError:
+    """Return the syntax error that describes an error of the parser.
+
+    lark names the valid terminals `accepts` or `expected` if a word is valid elsewhere, and
+    `allowed` if it matches no terminal.
+    """
     names = getattr(error, "accepts", None) or getattr(error, "expected", None)
     names = names or getattr(error, "allowed", None) or ()
     start = error.pos_in_stream
@@ -210,8 +215,8 @@
     for name in names:
         if name in _ENUM_TERMINALS:
             words.update(member.value for member in _ENUM_TERMINALS[name])
-        elif name in _DESCRIPTIONS:
-            words.add(_DESCRIPTIONS[name])
+        elif name in _TERMINAL_DESCRIPTIONS:
+            words.add(_TERMINAL_DESCRIPTIONS[name])
         else:
             words.add(_TERMINALS[name].value)
     return tuple(sorted(words))
--- a/src/carobhook/protocol/membership_messages.py
+++ b/src/carobhook/protocol/membership_messages.py
@@ -44,20 +44,24 @@
 
 @attrs.frozen
 class StreamClosing:
-    """Announces that the sender closes a stream it no longer needs, and is still live."""
+    """Announces that the sender closes a stream that it no longer needs, and is still live.
+
+    Without this message, the receiver takes the end of the stream for the end of the sender.
+    """
 
 
 @attrs.frozen
 class RosterUpdate:
-    """Updates the receiver's roster, which is the set of live instances that the sender knows.
+    """Reports which instances the sender knows to be live.
 
-    A relay sends only changes since its previous update. An instance that an update listed
-    counts as live until a later update of the same sender lists it as lost.
+    The first update on a stream is complete, and later ones contain only changes. Each update,
+    even without changes, confirms that the instances that its sender reported before are still
+    live, except for those that it lists as lost.
 
     Attributes:
         members: Instances that were added or whose state changed.
         lost: Names of the instances that are no longer live.
-        is_whole: Whether `members` is the complete roster and replaces all earlier updates.
+        is_whole: Whether `members` is complete and replaces all earlier updates of the sender.
     """
 
     members: tuple[members.Member, ...]
@@ -67,4 +71,8 @@
 
 @attrs.frozen
 class HeartbeatAck:
-    """Acknowledges a heartbeat on its connection, so that its sender detects a dead stream."""
+    """Acknowledges a heartbeat on the stream that carried it.
+
+    An instance closes a stream that it opened if it receives nothing on it for too long. This
+    is how it detects a dead stream.
+    """
--- a/src/carobhook/protocol/order_codec.py
+++ b/src/carobhook/protocol/order_codec.py
@@ -36,6 +36,6 @@
         raise MalformedOrdersError(f"orders must be a table, got {value!r:.60}")
     try:
         return _converter().structure(value, orders.OrderState)
-    except Exception as problem:
+    except Exception as error:
         # cattrs raises exception groups, which may contain any exception of the fields' types.
-        raise MalformedOrdersError(f"orders cannot be read: {problem!r:.200}") from problem
+        raise MalformedOrdersError(f"orders cannot be read: {error!r:.200}") from error
--- a/src/carobhook/protocol/slot_messages.py
+++ b/src/carobhook/protocol/slot_messages.py
@@ -21,10 +21,11 @@
         route: Name of the request's route.
         object_key: Key of the request's object on a route with object affinity, else None.
         priority: Rank of the request; 0 is the most urgent.
-        target_ms: Milliseconds from now after which a response is late and worth less.
+        target_ms: Milliseconds from now after which a response is late, but still useful.
         deadline_ms: Milliseconds from now after which a response is useless.
-        repeat: Whether the request was already sent to a server.
-        avoided: Servers that must not run the request.
+        repeat: Whether this is a retry: the request was already sent to a server that could
+            be reached.
+        avoided: Servers that must not run the request, such as those on which it failed.
         homes: Regions whose servers may run the request; empty for all regions.
         domain: Failure domain of the sender, None if unknown.
     """
@@ -88,7 +89,7 @@
 
 @attrs.frozen
 class NotDispatcher:
-    """Answers a slot request of which the sender is not, or no longer, the dispatcher.
+    """Answers a slot request if the sender is not, or no longer, the dispatcher of the shard.
 
     Attributes:
         ask_id: Id of the slot request.
@@ -99,14 +100,14 @@
 
 @attrs.frozen
 class SlotReleased:
-    """Returns a slot to the dispatcher and reports the outcome of the request.
+    """Returns a slot to the dispatcher and reports the outcome of the attempt.
 
     Attributes:
         id: Id of the slot request.
         region: Region of the shard.
         service: Service of the shard.
         server: Server of the slot.
-        end: Outcome of the request on the server.
+        end: Outcome of the attempt.
     """
 
     id: ids.RequestId
@@ -118,7 +119,10 @@
 
 @attrs.frozen
 class HeldSlotsQuery:
-    """Asks an instance which slots of a shard its requests hold; answered by `HeldSlotsReport`.
+    """Asks an instance which slots of a shard it uses; answered by `HeldSlotsReport`.
+
+    A new dispatcher of the shard sends it to all instances, so that it grants no slot that a
+    request still holds.
 
     Attributes:
         region: Region of the shard.
@@ -169,7 +173,8 @@
         service: Service of both dispatchers.
         region: Region of the sending dispatcher.
         receiver: Region of the receiving dispatcher.
-        slots: Number of usable slots of the sending region's servers.
+        slots: Number of slots of the sending region's servers, except those that drains
+            withhold, and except servers that are cold or failed to answer most recently.
         demand: Average number of slots that the requests of the sending region need, None
             before the first request.
         lent: Pairs of a server of the sending region and the number of its slots that the
@@ -195,7 +200,8 @@
         region: Region of the shard.
         service: Service of the shard.
         slots: Number of slots of the region's own servers.
-        usable: Number of slots that the dispatcher may grant, including borrowed ones.
+        usable: Number of slots that the dispatcher may grant, whether free or in use; includes
+            borrowed slots, but not lent or withheld ones.
         running: Number of requests that hold a slot.
         waiting: Number of requests that wait for a slot.
         demand: Average number of slots that the requests need, None before the first request.
--- a/src/carobhook/state/allocation.py
+++ b/src/carobhook/state/allocation.py
@@ -12,7 +12,7 @@
 
 
 class AttemptOutcome(enum.Enum):
-    """Outcome of sending a request to a backend server once.
+    """Outcome of one attempt to run a request on a backend server.
 
     ANSWERED: The server sent a complete response that does not report a server failure.
     FAILED: The server sent a complete response that reports a server failure.
@@ -20,7 +20,8 @@
     MISDIRECTED: The address now belongs to another server.
     UNREACHABLE: No connection to the server could be opened.
     BROKEN: The connection broke, or the server sent an invalid response.
-    CANCELLED: The instance cancelled the exchange, which says nothing about the server.
+    CANCELLED: The instance cancelled the attempt or did not use the slot, which says nothing
+        about the server.
     """
 
     ANSWERED = "answered"
@@ -42,10 +43,11 @@
         route: Name of the request's route.
         object_key: Key of the request's object on a route with object affinity, else None.
         priority: Rank of the request; 0 is the most urgent.
-        target_at: Monotonic time in seconds after which a response is late and worth less.
+        target_at: Monotonic time in seconds after which a response is late, but still useful.
         deadline_at: Monotonic time in seconds after which a response is useless.
-        repeat: Whether the request was already sent to a server.
-        avoided: Servers that must not run the request.
+        repeat: Whether this is a retry: the request was already sent to a server that could
+            be reached.
+        avoided: Servers that must not run the request, such as those on which it failed.
         homes: Regions whose servers may run the request; empty for all regions.
         domain: Failure domain of the requesting instance, None if unknown.
     """
@@ -65,13 +67,13 @@
 
 @attrs.frozen
 class SlotGrant:
-    """Grants a request a slot, which stays in use until the request's outcome is reported.
+    """Answers a slot request with a slot, in use until the request's outcome is reported.
 
     Attributes:
         ask_id: Id of the slot request.
         server: Server that runs the request.
         address: Address of the server, ``host:port``.
-        expected_s: Estimated time in seconds that the server needs for the request.
+        expected_s: Estimated seconds that the server needs for the request.
     """
 
     ask_id: ids.RequestId
@@ -82,7 +84,7 @@
 
 @attrs.frozen
 class SlotRefusal:
-    """Refuses a request a slot.
+    """Refuses a slot request.
 
     Attributes:
         ask_id: Id of the slot request.
--- a/src/carobhook/state/codes.py
+++ b/src/carobhook/state/codes.py
@@ -22,7 +22,7 @@
             start-up.
         http_status: HTTP status that is sent with the code.
         run: Whether the request or order was executed.
-        retry: Whether the client may send the same call again later.
+        retry: Whether the client may send the same request or order again later.
         text: Explanation in one sentence, for users.
     """
 
@@ -157,5 +157,5 @@
 
     @property
     def run(self) -> RunStatus:
-        """Return whether the request or order was executed."""
+        """Return the run status of the request or order."""
         return self.value.run
--- a/src/carobhook/state/members.py
+++ b/src/carobhook/state/members.py
@@ -6,7 +6,7 @@
 
 from carobhook.state import ids
 
-_NO_ORDERS = ids.Version(0)
+_INITIAL_VERSION = ids.Version(0)
 
 
 class Phase(enum.Enum):
@@ -31,7 +31,7 @@
         phase: Lifecycle phase.
         version: Version of the configuration that it applies.
         orders_version: Version of the operators' orders that it applies.
-        reaches_store: Whether the store answers it, so that it can feed other instances.
+        reaches_store: Whether the store answers it; if not, it cannot feed other instances.
         weight: Capacity relative to other instances.
     """
 
@@ -43,6 +43,6 @@
     peers: str
     phase: Phase
     version: ids.Version
-    orders_version: ids.Version = _NO_ORDERS
+    orders_version: ids.Version = _INITIAL_VERSION
     reaches_store: bool = True
     weight: float = 1.0
--- a/src/carobhook/state/orders.py
+++ b/src/carobhook/state/orders.py
@@ -11,24 +11,24 @@
 # Kind and name of the object that holds the orders in the store.
 STORE_KIND = "orders"
 STORE_NAME = "main"
-_SHARE = validators.and_(validators.ge(0.0), validators.le(1.0))
+_SHARE_VALIDATOR = validators.and_(validators.ge(0.0), validators.le(1.0))
 
 
 @attrs.frozen
 class Cap:
-    """Limits how much of a service's traffic in one region may move within any time window.
+    """Limits how much of a service's traffic in one region may move within a time window.
 
     Attributes:
         share: Largest fraction of the traffic that may move, from 0 to 1.
         window_s: Length of the window in seconds.
     """
 
-    share: float = attrs.field(validator=_SHARE)
+    share: float = attrs.field(validator=_SHARE_VALIDATOR)
     window_s: float = attrs.field(validator=validators.gt(0.0))
 
 
 DEFAULT_CAP = Cap(0.1, 10.0)
-_NO_VERSION = ids.Version(0)
+_INITIAL_VERSION = ids.Version(0)
 
 
 class DrainKind(enum.Enum):
@@ -41,11 +41,12 @@
 
 @attrs.frozen
 class Span:
-    """Period in which an order is in force.
+    """Times at which an order begins and ends; its traffic moves gradually from each time on.
 
     Attributes:
-        begins_at: Wall-clock time in seconds at which the order takes effect.
-        ends_at: Wall-clock time in seconds at which it ends, None if it has no end.
+        begins_at: Wall-clock time in seconds at which traffic begins to move.
+        ends_at: Wall-clock time in seconds at which traffic begins to move back, None if the
+            order has no end. An order whose end precedes its begin never moves traffic.
     """
 
     begins_at: float
@@ -63,8 +64,8 @@
         source: Region whose clients' requests move.
         target: Region whose servers run them.
         share: Fraction of the requests that moves, from 0 to 1.
-        span: Period in which the shift is in force.
-        cap: Cap that overrides the general one, or None.
+        span: Begin and end of the shift.
+        cap: Cap of this shift, None if the cap of the service or the general cap applies.
         priority: Rank of the requests that move, None for all ranks.
     """
 
@@ -73,7 +74,7 @@
     service: ids.Service
     source: ids.Region
     target: ids.Region
-    share: float = attrs.field(validator=_SHARE)
+    share: float = attrs.field(validator=_SHARE_VALIDATOR)
     span: Span
     cap: Cap | None = None
     priority: int | None = None
@@ -88,8 +89,8 @@
         author: Operator who gave the order.
         kind: Kind of the drained target.
         name: Name of the drained target.
-        span: Period in which the drain is in force.
-        cap: Cap that overrides the general one, or None.
+        span: Begin and end of the drain.
+        cap: Cap of this drain, None if the slowest of all caps applies.
     """
 
     order: ids.OrderId
@@ -124,19 +125,20 @@
 
 @attrs.frozen
 class OrderState:
-    """All orders in force, with the latest changes that produced them.
+    """One version of all orders, with the latest changes that produced it.
 
     Attributes:
         version: Version number, which increases by one with each change.
-        shifts: Shifts, including ended ones whose traffic is still moving back.
-        drains: Drains, including ended ones whose traffic is still moving back.
+        shifts: Shifts, including ended ones whose traffic may still be moving back.
+        drains: Drains, including those that begin later, and ended ones whose traffic may
+            still be moving back.
         caps: Caps by service.
         cap: General cap, for services that are not in `caps`.
         priorities: Ranks by route name, which override those of the configuration.
         changes: Latest changes, oldest first.
     """
 
-    version: ids.Version = _NO_VERSION
+    version: ids.Version = _INITIAL_VERSION
     shifts: tuple[Shift, ...] = ()
     drains: tuple[Drain, ...] = ()
     caps: Mapping[ids.Service, Cap] = attrs.field(factory=dict)
@@ -149,15 +151,16 @@
         """Return all shifts and drains."""
         return (*self.shifts, *self.drains)
 
-    def cap_of(self, order: "Move") -> Cap:
-        """Return the cap that limits how fast an order moves traffic.
+    def cap_of(self, move: "Move") -> Cap:
+        """Return the cap that limits how fast a shift or drain moves traffic.
 
-        A drain without its own cap concerns all services, so the slowest of all caps applies.
+        A drain may move traffic of every service. Without a cap of its own it therefore gets
+        the slowest of all caps, so that it exceeds the cap of none.
         """
-        if order.cap is not None:
-            return order.cap
-        if isinstance(order, Shift):
-            return self.caps.get(order.service, self.cap)
+        if move.cap is not None:
+            return move.cap
+        if isinstance(move, Shift):
+            return self.caps.get(move.service, self.cap)
         return min((self.cap, *self.caps.values()), key=lambda cap: cap.share / cap.window_s)
 
     def change_of(self, order: ids.OrderId) -> Change | None:
--- a/src/carobhook/state/routing.py
+++ b/src/carobhook/state/routing.py
@@ -34,13 +34,14 @@
         prefix: Path prefix that the route matches; it begins and ends with a slash.
         idempotency: Whether requests may run more than once.
         timeout_s: Time limit of a request in seconds, from its arrival to its response.
-        target_s: Latency target in seconds; a later response is worth less.
+        target_s: Latency target in seconds; a later response is late, but still useful until
+            the time limit.
         priority: Rank of the requests; 0 is the most urgent.
         weighted_services: Services that run the requests, with their weights.
-        max_attempts: Largest number of servers that one attempt of a client may be sent to;
-            servers that cannot be reached are not counted.
-        object_affinity: Whether a server that recently handled an object handles it faster
-            again; if so, slot requests name the object.
+        max_attempts: Largest number of attempts for one client request, each on another server;
+            attempts whose server cannot be reached are not counted.
+        object_affinity: Whether a server runs requests for an object faster if it recently ran
+            others for it; if so, slot requests carry the key of the object.
         homes: Regions that may run the requests; empty for all regions.
     """
 
@@ -66,10 +67,12 @@
 class ServicePolicy:
     """Configuration of one service.
 
+    A server is cold for some time after its start and then handles requests only at a low rate.
+
     Attributes:
         name: Name of the service.
         health_path: Path of the health check on its servers.
-        max_connections: Number of connections that one server accepts in total.
+        max_connections: Largest number of connections that one server accepts.
         cold_start_s: Seconds for which a server counts as cold after its start.
         cold_requests_per_s: Requests per second that a cold server can handle.
     """
@@ -83,7 +86,7 @@
 
 @attrs.frozen
 class ClientLimits:
-    """Limits on the size of client requests and on the time that clients may take.
+    """Limits on the size of client requests and on the time that clients take to send them.
 
     Attributes:
         max_header_bytes: Largest size of a request head.
@@ -125,8 +128,8 @@
             host: Value of the Host header; its port is ignored.
             path: Path of the request, without the query.
         """
-        name = host.rpartition(":")[0] or host
-        for route in self._by_host.get(name.lower(), ()):
+        host_name = host.rpartition(":")[0] or host
+        for route in self._by_host.get(host_name.lower(), ()):
             if path.startswith(route.prefix):
                 return route
         return None
--- a/src/carobhook/state/servers.py
+++ b/src/carobhook/state/servers.py
@@ -19,14 +19,14 @@
     """Registration of one backend server.
 
     Attributes:
-        name: Id of the server, new with each start unless the server kept its id.
+        name: Id of the server; some servers keep it across restarts, others get a new one.
         service: Service that the server runs.
         zone: Failure domain that the server runs in.
         address: Address at which the server accepts requests, ``host:port``.
         slots: Number of requests that the server can run concurrently.
         state: State that the server reports.
-        cold_s: Seconds for which the server was still cold when it wrote the entry.
-        started_at_ms: Unix time of the start in milliseconds, None if it is not given.
+        cold_s: Seconds for which the server stays cold, counted from when it wrote the entry.
+        started_at_ms: Unix time of the server's start in milliseconds, None if not given.
     """
 
     name: ids.Server
--- a/src/carobhook/state/statements.py
+++ b/src/carobhook/state/statements.py
@@ -60,11 +60,11 @@
 
 @attrs.frozen
 class CapOverride:
-    """Cap given with an order, which replaces the general cap for this order.
+    """Cap given with an order, which replaces the cap that would apply to it otherwise.
 
     Attributes:
         cap: The cap.
-        emergency: Whether the cap may be wider than the general one.
+        emergency: Whether the cap may be wider than the one that it replaces.
     """
 
     cap: orders.Cap
@@ -80,7 +80,7 @@
         source: Region whose clients' requests move.
         target: Region whose servers run them.
         share: Fraction of the requests that moves, from 0 to 1.
-        cap_override: Cap for this order, None for the general cap.
+        cap_override: Cap for this order, None for the cap of the service or the general cap.
         priority: Rank of the requests that move, None for all ranks.
     """
 
@@ -99,7 +99,7 @@
     Attributes:
         kind: Kind of the drained target.
         name: Name of the drained target.
-        cap_override: Cap for this order, None for the general cap.
+        cap_override: Cap for this order, None for the slowest of all caps.
         starts: Start in seconds since midnight UTC, None for immediately.
         ends: End in seconds since midnight UTC, None for no end.
     """
@@ -129,11 +129,11 @@
 
 @attrs.frozen
 class SetRank:
-    """Overrides the rank of a route's requests, or restores that of the configuration.
+    """Overrides the rank of a route's requests, or restores the configured rank.
 
     Attributes:
         route: Name of the route.
-        priority: Rank, where 0 is the most urgent; None restores that of the configuration.
+        priority: Rank, where 0 is the most urgent; None restores the configured rank.
     """
 
     route: str
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -7,9 +7,9 @@
 _VALID_HEAD = b"GET /a/b?c HTTP/1.1\r\nHost: x\r\nX-Attempt-Id: 1\r\n\r\n"
 
 
-def head(*lines, start=b"POST / HTTP/1.1"):
+def head(*lines, request_line=b"POST / HTTP/1.1"):
     """Return a request head with a Host header and further header lines."""
-    return b"\r\n".join([start, b"Host: x", *lines]) + b"\r\n\r\n"
+    return b"\r\n".join([request_line, b"Host: x", *lines]) + b"\r\n\r\n"
 
 
 class TestCheckHead:
@@ -38,13 +38,13 @@
             head(b"X-A: \x00"),
             head(b"Host: y"),
             b"GET / HTTP/1.1\r\nX-A: 1\r\n\r\n",
-            head(start=b"GET  / HTTP/1.1"),
-            head(start=b"GET / HTTP/2.0"),
-            head(start=b"GET /"),
+            head(request_line=b"GET  / HTTP/1.1"),
+            head(request_line=b"GET / HTTP/2.0"),
+            head(request_line=b"GET /"),
         ],
     )
-    def test_ambiguous_head_is_rejected(self, invalid_head):
-        """A head that two parsers may read differently, or a malformed one, gets status 400."""
+    def test_invalid_head_is_rejected(self, invalid_head):
+        """Malformed heads and heads that parsers may read differently get status 400."""
         with pytest.raises(http1.HeadError) as caught:
             http1.check_head(invalid_head)
         assert caught.value.status == 400
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -13,7 +13,7 @@
 EXAMPLES = re.findall(r"\| `([^`|]+)` \|$", _PAGE.read_text("utf-8"), re.MULTILINE)
 
 
-class TestPage:
+class TestReferencePage:
     """The examples in the reference page of the language."""
 
     @pytest.mark.parametrize("text", EXAMPLES)
@@ -33,7 +33,7 @@
 
 
 class TestParse:
-    """Statements that a text is parsed to."""
+    """Parsing of valid statements."""
 
     def test_shift_with_all_optional_clauses(self):
         """A shift keeps its share, emergency cap and rank."""
@@ -59,7 +59,7 @@
     """Texts that do not parse."""
 
     @pytest.mark.parametrize(
-        ("text", "column", "word", "hint"),
+        ("text", "column", "word", "message_part"),
         [
             ("shfit licences from a to b by 1%", 1, "shfit", "did you mean 'shift'"),
             ("show regoins", 6, "regoins", "did you mean 'regions'"),
@@ -72,9 +72,11 @@
             ("", 1, "", "the order ends too early"),
         ],
     )
-    def test_error_reports_column_word_and_expectation(self, text, column, word, hint):
+    def test_error_reports_column_word_and_expectation(self, text, column, word, message_part):
         """The error has the column and the word, and its text names the expected words."""
-        with pytest.raises(language.StatementSyntaxError, match=re.escape(hint)) as caught:
+        with pytest.raises(
+            language.StatementSyntaxError, match=re.escape(message_part)
+        ) as caught:
             language.parse(text)
         assert (caught.value.column, caught.value.word) == (column, word)
 
