--- a/src/carobhook/coordination/catalog.py
+++ b/src/carobhook/coordination/catalog.py
@@ -158,7 +158,7 @@
             return False
         return (
             known.entry.state is servers.ServerState.READY
-            and known.entry.zone not in self._evacuated
+            and known.entry.failure_domain not in self._evacuated
             and not self.is_fully_drained(known.entry)
         )
 
--- a/src/carobhook/coordination/dispatcher.py
+++ b/src/carobhook/coordination/dispatcher.py
@@ -293,7 +293,7 @@
                 others,
                 key=lambda s: (
                     self._health_penalty(s, now),
-                    s.view.entry.zone != request.domain,
+                    s.view.entry.failure_domain != request.domain,
                     len(s.running) / max(1, s.slots),
                     len(s.recent_objects),
                     s.name,
@@ -342,7 +342,7 @@
         queue_ratio = min(1.0, len(self._queue) / max(1, self.pool.slots))
         weight = _SLOT_TIME_WEIGHT + queue_ratio * _QUEUE_SLOT_TIME_WEIGHT
         penalty = server.failure_share * _FAILURE_PENALTY * work_s
-        if request.domain is not None and server.view.entry.zone != request.domain:
+        if request.domain is not None and server.view.entry.failure_domain != request.domain:
             penalty += _CROSS_DOMAIN_COST_S
         cost = wait_s + work_s * (1 + weight) + penalty
         return _Candidate(server, wait_s, work_s, cost)
--- a/src/carobhook/coordination/operator_queries.py
+++ b/src/carobhook/coordination/operator_queries.py
@@ -223,8 +223,8 @@
         server.entry.slots
         for server in view.servers
         if server.entry.service == service
-        and view.regions.get(server.entry.zone) == region
-        and not drained & {region, server.entry.zone, server.entry.name}
+        and view.regions.get(server.entry.failure_domain) == region
+        and not drained & {region, server.entry.failure_domain, server.entry.name}
     )
 
 
@@ -278,8 +278,8 @@
     columns = ("server", "service", "region", "failure domain", "state", "slots", "address")
     entries = sorted((server.entry for server in view.servers), key=lambda entry: entry.name)
     return columns, [
-        (e.name, e.service, view.regions.get(e.zone, ""), e.zone, e.state.value, e.slots,
-         e.address)
+        (e.name, e.service, view.regions.get(e.failure_domain, ""), e.failure_domain,
+         e.state.value, e.slots, e.address)
         for e in entries
     ]  # fmt: skip
 
@@ -289,7 +289,9 @@
     rows: list[Row] = []
     for region in sorted(set(view.regions.values())):
         loads = [load for load in view.loads if load.region == region]
-        in_region = [s for s in view.servers if view.regions.get(s.entry.zone) == region]
+        in_region = [
+            s for s in view.servers if view.regions.get(s.entry.failure_domain) == region
+        ]
         rows.append(
             (
                 region,
--- a/src/carobhook/coordination/steering.py
+++ b/src/carobhook/coordination/steering.py
@@ -141,9 +141,9 @@
 
     def _drain_includes(self, drain: orders.Drain, entry: servers.ServerEntry) -> bool:
         if drain.kind is orders.DrainKind.REGION:
-            return self.regions.get(entry.zone) == drain.name
+            return self.regions.get(entry.failure_domain) == drain.name
         if drain.kind is orders.DrainKind.FAILURE_DOMAIN:
-            return entry.zone == drain.name
+            return entry.failure_domain == drain.name
         return entry.name == drain.name
 
     # Requests.
--- a/src/carobhook/platform/objects.py
+++ b/src/carobhook/platform/objects.py
@@ -82,7 +82,7 @@
     return servers.ServerEntry(
         name=ids.Server(object_name(raw)),
         service=ids.Service(_require(info, "Service", str)),
-        zone=ids.FailureDomain(_require(info, "Zone", str)),
+        failure_domain=ids.FailureDomain(_require(info, "Zone", str)),
         address=address,
         slots=slots,
         state=state,
--- a/src/carobhook/state/servers.py
+++ b/src/carobhook/state/servers.py
@@ -21,7 +21,7 @@
     Attributes:
         name: Id of the server; some servers keep it across restarts, others get a new one.
         service: Service that the server runs.
-        zone: Failure domain that the server runs in.
+        failure_domain: Failure domain that the server runs in.
         address: Address at which the server accepts requests, ``host:port``.
         slots: Number of requests that the server can run concurrently.
         state: State that the server reports.
@@ -31,7 +31,7 @@
 
     name: ids.Server
     service: ids.Service
-    zone: ids.FailureDomain
+    failure_domain: ids.FailureDomain
     address: str
     slots: int
     state: ServerState
--- a/src/carobhook/transport/slot_shards.py
+++ b/src/carobhook/transport/slot_shards.py
@@ -314,7 +314,7 @@
         cold_rate = self._cold_rate(service, visible)
         for view in self._known.servers_of(service, now):
             entry = view.entry
-            home = self._regions.get(entry.zone)
+            home = self._regions.get(entry.failure_domain)
             if home is None:
                 continue
             if home == region:
--- a/src/carobhook/transport/store_follow.py
+++ b/src/carobhook/transport/store_follow.py
@@ -338,7 +338,7 @@
             "server-seen",
             server=name,
             service=entry.service,
-            zone=entry.zone,
+            zone=entry.failure_domain,
             state=entry.state,
             cold_s=entry.cold_s,
             revision=item.version,
