--- a/src/carobhook/transport/shard_dispatchers.py
+++ b/src/carobhook/transport/shard_dispatchers.py
@@ -342,7 +342,7 @@
         cold_rate = self._cold_rate(service, visible)
         for view in self._catalog.servers_of(service, now):
             entry = view.entry
-            home = self._regions.get(entry.zone)
+            home = self._regions.get(entry.failure_domain)
             if home is None:
                 continue
             if home == region:
