--- a/src/carobhook/transport/entry_daemon.py
+++ b/src/carobhook/transport/entry_daemon.py
@@ -1,4 +1,4 @@
-"""One entry instance on the platform: its sockets, and the tasks behind them."""
+"""Entry instance: creates its parts, listens on its addresses, and starts and stops it."""
 
 import random
 import secrets
@@ -31,27 +31,30 @@
 _CONNECT_TIMEOUT_S = 0.5
 _TICK_S = 0.1
 _CLOSE_IDLE_S = 1.0
-# New connections are taken this long after a stop began: clients that asked the directory just
-# before go by its answer for that time.
-_ACCEPT_WHILE_LEAVING_S = entry_answers.DIRECTORY_TTL_S + 0.3
+# New connections are accepted for this long after a stop began: clients that asked the
+# directory just before still connect to this instance until the answer's time to live ends.
+_ACCEPT_AFTER_STOP_S = entry_answers.DIRECTORY_TTL_S + 0.3
 _STOP_POLL_S = 0.05
-# Share of the grace before whose end the last answers are out and the process has ended.
-_GRACE_MARGIN_SHARE = 0.15
-_DESCRIPTORS_KEPT = 600
-_BODY_SHARE_OF_MEMORY = 0.25
-# Loans between regions move once in half a second, and a bound holds for two seconds.
-_LOAN_STEPS_IN_BOUND = 4
-# Traffic that one core can carry.
-_MBPS_OF_CORE = 100.0
+# Share of the grace period, at its end, that is left for the last responses and for the process
+# to exit.
+_GRACE_MARGIN_RATIO = 0.15
+_RESERVED_DESCRIPTORS = 600
+_BODY_MEMORY_RATIO = 0.25
+# Slot loans between regions change every half second, and the settings bound the change within
+# two seconds, so that each step may use a quarter of the bound.
+_LOAN_STEPS_PER_SHIFT = 4
+# Traffic in Mbit/s that one processor core can carry.
+_MBPS_PER_CORE = 100.0
 
 
 @attrs.frozen
 class Clocks:
-    """Clocks besides the reactor's.
+    """Clocks that an instance needs besides the reactor's.
 
     Attributes:
         wall: Returns the time of day in seconds.
-        boot: Returns a steady time in seconds that also counts while the machine is suspended.
+        boot: Returns a monotonic time in seconds that also advances while the machine is
+            suspended.
     """
 
     wall: Callable[[], float] = time.time
@@ -59,13 +62,13 @@
 
 
 class EntryDaemon:
-    """One entry instance.
+    """One entry instance: its listeners, its connections and the tasks behind them.
 
     Args:
-        settings: Its settings.
-        reactor: The reactor.
-        rng: Source of jitter.
-        omitted: Returns the number of log lines left out so far.
+        settings: Settings of the instance.
+        reactor: Source of time, timers and sockets.
+        rng: Source of the jitter of delays.
+        omitted: Returns the number of log lines omitted so far.
         clocks: Clocks besides the reactor's.
     """
 
@@ -88,14 +91,14 @@
         self._store = store.PlatformStore(
             reactor, settings.store.address, settings.store.timeout_s, (names.SERVERS_KIND,)
         )
-        self._tls = _tls_contexts(settings)
-        self._streams = self._member_streams()
-        self._follow = self._store_follow(rng or random.Random())
-        self._desk = self._slot_desk()
+        self._tls = _load_tls_contexts(settings)
+        self._streams = self._create_member_streams()
+        self._follow = self._create_store_sync(rng or random.Random())
+        self._desk = self._create_slot_allocator()
         self._servers = server_connections.ServerConnections(reactor, _CONNECT_TIMEOUT_S)
         self._metrics = entry_metrics.EntryMetrics(self._gauges(omitted))
-        self._requests = self._entry_requests()
-        self._front = self._listener(self._requests.take)
+        self._requests = self._create_entry_requests()
+        self._request_listener = self._create_listener(self._requests.take)
         answers = entry_answers.EntryAnswers(
             reactor,
             self._streams.roster,
@@ -103,34 +106,34 @@
             lambda: self._phase is members.Phase.READY,
             lambda: self._settings.bounds.ttl_max_s,
         )
-        self._readiness = self._listener(answers.take_readiness)
-        self._directory = self._listener(answers.take_directory)
-        self._metrics_listener = self._listener(answers.take_metrics)
-        self._operators: typing.Any = None
+        self._readiness_listener = self._create_listener(answers.take_readiness)
+        self._directory_listener = self._create_listener(answers.take_directory)
+        self._metrics_listener = self._create_listener(answers.take_metrics)
+        self._operator_api: typing.Any = None
         self._ports: list[typing.Any] = []
         self._loops: list[task.LoopingCall] = []
 
-    def _member_streams(self) -> member_streams.MemberStreams:
+    def _create_member_streams(self) -> member_streams.MemberStreams:
         place = self._settings.place
         key = self._settings.security.peer_key.encode()
         return member_streams.MemberStreams(
             self._reactor,
             peers.Identity(place.name, self._incarnation, key),
-            self._member,
+            self._own_member,
             member_streams.MemberEvents(
-                self._received, self._member_lost, self._members_changed
+                self._handle_message, self._on_member_lost, self._on_members_change
             ),
             self._tls.peers if self._tls is not None else None,
         )
 
-    def _store_follow(self, rng: random.Random) -> store_follow.StoreFollow:
+    def _create_store_sync(self, rng: random.Random) -> store_follow.StoreFollow:
         return store_follow.StoreFollow(
             self._reactor,
             self._store,
             self._known,
             self._orders,
             rng,
-            self._catalog_changed,
+            self._on_catalog_change,
             store_follow.FeedPort(
                 self._settings.place.name,
                 self._feed_candidates,
@@ -139,7 +142,7 @@
             ),
         )
 
-    def _slot_desk(self) -> slot_desk.SlotDesk:
+    def _create_slot_allocator(self) -> slot_desk.SlotDesk:
         return slot_desk.SlotDesk(
             self._reactor,
             self._settings.place.name,
@@ -160,10 +163,10 @@
             bounds.budget_window_s,
             bounds.cold_over,
             bounds.cold_slack,
-            bounds.shift_most / _LOAN_STEPS_IN_BOUND,
+            bounds.shift_most / _LOAN_STEPS_PER_SHIFT,
         )
 
-    def _entry_requests(self) -> entry_requests.EntryRequests:
+    def _create_entry_requests(self) -> entry_requests.EntryRequests:
         place = self._settings.place
         return entry_requests.EntryRequests(
             self._reactor,
@@ -181,7 +184,7 @@
             ),
         )
 
-    def _listener(
+    def _create_listener(
         self, handler: client_connections.Handler
     ) -> client_connections.ClientListener:
         capacity = self._settings.capacity
@@ -189,24 +192,26 @@
             self._reactor,
             handler,
             self._client_limits,
-            max(64, int(capacity.file_descriptors) - _DESCRIPTORS_KEPT),
-            int(capacity.memory_mb * _BODY_SHARE_OF_MEMORY * 1024 * 1024),
+            max(64, int(capacity.file_descriptors) - _RESERVED_DESCRIPTORS),
+            int(capacity.memory_mb * _BODY_MEMORY_RATIO * 1024 * 1024),
         )
 
     def _gauges(
         self, omitted: Callable[[], int]
     ) -> dict[entry_metrics.EntryMetric, Callable[[], float]]:
-        known, seconds = self._known, self._reactor.seconds
+        server_catalog, seconds = self._known, self._reactor.seconds
         metric = entry_metrics.EntryMetric
         return {
             metric.IN_FLIGHT: lambda: self._requests.in_flight,
-            metric.CLIENT_CONNECTIONS: lambda: self._front.open_connections,
+            metric.CLIENT_CONNECTIONS: lambda: self._request_listener.open_connections,
             metric.SERVER_CONNECTIONS: lambda: self._servers.opened,
             metric.STORE_CALLS: lambda: self._store.calls,
-            metric.STORE_LOST: lambda: float(known.store_lost_at is not None),
-            metric.SERVERS: lambda: len(known.servers(seconds())),
+            metric.STORE_LOST: lambda: float(server_catalog.store_lost_at is not None),
+            metric.SERVERS: lambda: len(server_catalog.servers(seconds())),
             metric.MEMBERS: lambda: len(self._streams.roster.serving(seconds())),
-            metric.CONFIG_VERSION: lambda: known.config.version if known.config else 0,
+            metric.CONFIG_VERSION: lambda: (
+                server_catalog.config.version if server_catalog.config else 0
+            ),
             metric.ORDERS_VERSION: lambda: self._orders.in_force.version,
             metric.READY: lambda: float(self._phase is members.Phase.READY),
             metric.LINES_OMITTED: omitted,
@@ -222,42 +227,43 @@
         return self._phase
 
     async def start(self) -> None:
-        """Listen, and begin to follow the store and the other instances.
+        """Listen on all addresses, and start to follow the store and the other instances.
 
         Raises:
             twisted.internet.error.CannotListenError: An address is in use.
         """
         place = self._settings.place
         for address, listener in (
-            (place.http, self._front),
-            (place.readiness, self._readiness),
-            (place.directory, self._directory),
+            (place.http, self._request_listener),
+            (place.readiness, self._readiness_listener),
+            (place.directory, self._directory_listener),
             (place.metrics, self._metrics_listener),
         ):
             self._listen(address, listener)
         if place.operators and self._settings.security.operators:
             context = self._tls.server if self._tls is not None else None
-            self._listen(place.operators, self._operator_listener(), context)
+            self._listen(place.operators, self._create_operator_listener(), context)
         self._streams.start(place.peers, place.seeds)
         self._follow.start()
-        self._loop(self._beat, _HEARTBEAT_S)
-        self._loop(self._tick, _TICK_S)
-        self._loop(self._close_idle, _CLOSE_IDLE_S)
+        self._start_loop(self._heartbeat, _HEARTBEAT_S)
+        self._start_loop(self._tick, _TICK_S)
+        self._start_loop(self._close_idle, _CLOSE_IDLE_S)
         logs.event("instance-started", region=place.region, zone=place.failure_domain)
 
     def _listen(self, address: str, listener: typing.Any, context: typing.Any = None) -> None:
         host, _, port = address.rpartition(":")
         self._ports.append(sockets.listen(self._reactor, host, int(port), listener, context))
 
-    def _operator_listener(self) -> client_connections.ClientListener:
-        # Imported late, as the language of orders costs memory where nobody orders.
+    def _create_operator_listener(self) -> client_connections.ClientListener:
+        # Imported here, as the parser of orders costs memory and only instances with an address
+        # for operators need it.
         from carobhook.transport import operator_api, operator_view
 
         security = self._settings.security
         view = operator_view.OperatorView(
             self._known, self._orders, self._streams, self._desk, self._settings.regions
         )
-        self._operators = operator_api.OperatorApi(
+        self._operator_api = operator_api.OperatorApi(
             self._reactor,
             operator_api.Roles(security.operators, security.readers),
             view.ports(self._store, self._reactor.seconds),
@@ -265,43 +271,55 @@
         )
         return client_connections.ClientListener(
             self._reactor,
-            self._operators.take,
-            lambda: operator_api.LIMITS,
+            self._operator_api.handle_request,
+            lambda: operator_api.CLIENT_LIMITS,
             operator_api.MAX_CONNECTIONS,
-            operator_api.MAX_HELD_OCTETS,
+            operator_api.MAX_BUFFERED_BYTES,
         )
 
     def reload(self, settings: entry_settings.EntrySettings) -> None:
-        """Take changed settings into force; addresses and names need a restart.
+        """Apply the changed settings that need no restart.
+
+        These are the seeds, the grace period and the longest lifetime of a lookup's answer; the
+        others take effect at the next start.
 
         Args:
             settings: The changed settings.
         """
-        kept = self._settings
-        self._settings = attrs.evolve(kept, bounds=settings.bounds, regions=settings.regions)
+        previous = self._settings
+        self._settings = attrs.evolve(
+            previous, bounds=settings.bounds, regions=settings.regions
+        )
         self._streams.seed(settings.place.seeds)
-        needs_restart = settings.place != kept.place or settings.capacity != kept.capacity
+        needs_restart = (
+            settings.place != previous.place or settings.capacity != previous.capacity
+        )
         logs.event("settings-reloaded", needs_restart=needs_restart)
 
     async def stop(self) -> None:
-        """Leave without cutting a request, then close all sockets; once only."""
+        """Leave the deployment: finish the requests in progress, then close all sockets.
+
+        Requests that still run shortly before the end of the grace period are aborted. Calls
+        after the first do nothing.
+        """
         if self._phase is members.Phase.LEAVING:
             return
-        begun_at = self._clocks.boot()
-        end_at = begun_at + self._settings.bounds.grace_s * (1 - _GRACE_MARGIN_SHARE)
-        accept_until = begun_at + _ACCEPT_WHILE_LEAVING_S
+        started_at = self._clocks.boot()
+        deadline_at = started_at + self._settings.bounds.grace_s * (1 - _GRACE_MARGIN_RATIO)
+        accept_until = started_at + _ACCEPT_AFTER_STOP_S
         logs.event("instance-leaving", requests=self._requests.in_flight)
         self._phase = members.Phase.LEAVING
-        self._front.leaving = True
-        self._beat()
+        self._request_listener.leaving = True
+        self._heartbeat()
         self._desk.members_changed()
-        self._front.close_idle()
-        # The grace goes on while the machine is suspended, so that time counts too.
-        while (now := self._clocks.boot()) < end_at:
+        self._request_listener.close_idle()
+        # The grace period also runs while the machine is suspended, which the reactor's clock
+        # does not count.
+        while (now := self._clocks.boot()) < deadline_at:
             if now >= accept_until:
-                if not self._requests.in_flight and not self._front.open_connections:
+                if not self._requests.in_flight and not self._request_listener.open_connections:
                     break
-                self._front.close_idle()
+                self._request_listener.close_idle()
             await task.deferLater(self._reactor, _STOP_POLL_S)
         await self._shut_down()
 
@@ -313,9 +331,9 @@
             await defer.maybeDeferred(port.stopListening)
         await self._streams.stop()
         for listener in (
-            self._front,
-            self._readiness,
-            self._directory,
+            self._request_listener,
+            self._readiness_listener,
+            self._directory_listener,
             self._metrics_listener,
         ):
             listener.abort()
@@ -323,7 +341,7 @@
         self._store.stop()
         logs.event("instance-stopped", requests=self._requests.in_flight)
 
-    def _loop(self, call: Callable[[], object], interval_s: float) -> None:
+    def _start_loop(self, call: Callable[[], object], interval_s: float) -> None:
         loop = task.LoopingCall(call)
         loop.clock = self._reactor
         loop.start(interval_s).addErrback(
@@ -331,9 +349,9 @@
         )
         self._loops.append(loop)
 
-    # Other instances.
+    # Messages to and from other instances.
 
-    def _member(self) -> members.Member:
+    def _own_member(self) -> members.Member:
         place = self._settings.place
         config = self._known.config
         return members.Member(
@@ -351,28 +369,28 @@
         )
 
     def _weight(self) -> float:
-        """Return how much this instance can carry, in Mbit/s of its link or processor."""
+        """Return the traffic in Mbit/s that the link and the processor cores can carry."""
         capacity = self._settings.capacity
-        return min(capacity.link_mbps, capacity.cores * _MBPS_OF_CORE)
+        return min(capacity.link_mbps, capacity.cores * _MBPS_PER_CORE)
 
-    def _beat(self) -> None:
+    def _heartbeat(self) -> None:
         if (
             self._phase is members.Phase.STARTING
             and self._known.config is not None
-            and self._follow.complete
+            and self._follow.is_complete
         ):
             self._phase = members.Phase.READY
             logs.event("instance-ready", version=self._known.config.version)
         self._streams.beat()
 
-    def _members_changed(self) -> None:
+    def _on_members_change(self) -> None:
         self._desk.members_changed()
 
-    def _member_lost(self, name: ids.InstanceId) -> None:
+    def _on_member_lost(self, name: ids.InstanceId) -> None:
         self._desk.lost(name)
-        self._follow.lost(name)
+        self._follow.remove_subscriber(name)
 
-    def _received(self, sender: ids.InstanceId, message: typing.Any) -> None:
+    def _handle_message(self, sender: ids.InstanceId, message: typing.Any) -> None:
         if isinstance(message, feed_messages.Message):
             self._follow.received(sender, message)
         elif isinstance(message, slot_messages.RequestMarked):
@@ -383,17 +401,17 @@
             loads = tuple(self._desk.loads())
             self._streams.send(sender, slot_messages.LoadReport(message.id, loads))
         elif isinstance(message, slot_messages.LoadReport):
-            if self._operators is not None:
-                self._operators.told_loads(message)
+            if self._operator_api is not None:
+                self._operator_api.record_load_report(message)
         else:
             self._desk.received(sender, message)
 
-    # The store's view.
+    # Changes of the store, and periodic work.
 
-    def _catalog_changed(self) -> None:
+    def _on_catalog_change(self) -> None:
         self._desk.servers_changed()
         if self._phase is members.Phase.STARTING:
-            self._beat()
+            self._heartbeat()
 
     def _tick(self) -> None:
         self._follow.tick()
@@ -418,11 +436,11 @@
         self._store.close_idle(now)
 
 
-def _tls_contexts(settings: entry_settings.EntrySettings) -> typing.Any:
-    """Return how connections are secured, None without certificates."""
+def _load_tls_contexts(settings: entry_settings.EntrySettings) -> typing.Any:
+    """Return the TLS contexts of the settings, or None without a certificate."""
     if not settings.tls.cert:
         return None
-    # Imported late, as the library costs memory and time at the start.
+    # Imported here, as the TLS library costs memory and start-up time.
     from carobhook.transport import tls
 
     return tls.load(settings.tls)
--- a/src/carobhook/transport/operator_api.py
+++ b/src/carobhook/transport/operator_api.py
@@ -1,4 +1,4 @@
-"""Answers operators' clients over HTTP: orders, questions, and how far an order is in force."""
+"""HTTP interface of operators: orders, queries, and on which instances an order is in force."""
 
 import hashlib
 import hmac
@@ -18,37 +18,37 @@
 
 ORDERS_PATH = "/v1/orders"
 IN_FORCE_PATH = "/v1/in-force/"
-LIMITS = routing.ClientLimits(max_body_bytes=64 * 1024, idle_timeout_s=60.0)
+CLIENT_LIMITS = routing.ClientLimits(max_body_bytes=64 * 1024, idle_timeout_s=60.0)
 MAX_CONNECTIONS = 64
-MAX_HELD_OCTETS = 1024 * 1024
+MAX_BUFFERED_BYTES = 1024 * 1024
 _RETRY_S = 0.2
 _LOADS_WAIT_S = 1.0
 
-_Answer = Callable[[http1.Response], None]
+_Respond = Callable[[http1.Response], None]
 
 
 @attrs.frozen
 class Roles:
-    """Tokens, as SHA-256 hashes in hex by the names of their holders.
+    """Accepted tokens: their SHA-256 hashes in hex by the names of their owners.
 
     Attributes:
-        operators: Those that may order.
-        readers: Those that may only ask.
+        operators: Tokens that allow orders and queries.
+        readers: Tokens that allow queries only.
     """
 
     operators: Mapping[str, str]
     readers: Mapping[str, str]
 
-    def author(self, header: str | None) -> str | None:
-        """Return who sent an ``Authorization`` header, or None."""
-        return _holder({**self.readers, **self.operators}, header)
+    def authenticate(self, header: str | None) -> str | None:
+        """Return the owner of the token in an ``Authorization`` header, or None if unknown."""
+        return _token_owner({**self.readers, **self.operators}, header)
 
     def may_order(self, header: str | None) -> bool:
-        """Tell whether the sender of an ``Authorization`` header may order."""
-        return _holder(self.operators, header) is not None
+        """Return whether the token in an ``Authorization`` header allows orders."""
+        return _token_owner(self.operators, header) is not None
 
 
-def _holder(tokens: Mapping[str, str], header: str | None) -> str | None:
+def _token_owner(tokens: Mapping[str, str], header: str | None) -> str | None:
     scheme, _, token = (header or "").partition(" ")
     if scheme.lower() != "bearer":
         return None
@@ -60,30 +60,37 @@
 
 @attrs.frozen
 class OperatorPorts:
-    """What answers need of the rest of an instance.
+    """Access to the parts of an instance that orders and queries need.
 
     Attributes:
-        store: The store.
-        view: Returns what this instance knows, given the loads of all shards.
-        names: Returns what orders may name.
-        ask_loads: Asks all other instances for their loads; returns how many were asked.
+        store: The store, which keeps the orders.
+        view: Returns the state that queries are answered from, given the loads of all shards.
+        names: Returns the names that orders may refer to.
+        send_load_query: Sends a query to the other instances that can run shards; returns how
+            many it was sent to.
         own_loads: Returns the loads of this instance's shards.
     """
 
     store: objects.ObjectStore
     view: Callable[[list[slot_messages.ShardLoad]], operator_queries.InstanceView]
     names: Callable[[], order_commands.KnownNames]
-    ask_loads: Callable[[slot_messages.LoadQuery], int]
+    send_load_query: Callable[[slot_messages.LoadQuery], int]
     own_loads: Callable[[], list[slot_messages.ShardLoad]]
 
 
 @attrs.define(eq=False)
-class _Gathering:
-    """Loads that are being gathered from the instances."""
+class _LoadCollection:
+    """Shard loads that are being collected from the instances.
 
-    missing: int
+    Attributes:
+        pending: Number of instances that have not reported yet.
+        loads: Loads reported so far.
+        done: Fires when all have reported, or the wait is over.
+    """
+
+    pending: int
     loads: list[slot_messages.ShardLoad]
-    complete: defer.Deferred
+    done: defer.Deferred
 
 
 class OperatorApi:
@@ -91,8 +98,8 @@
 
     Args:
         reactor: Source of time and timers.
-        roles: Whose tokens are known.
-        ports: What answers need of the rest of the instance.
+        roles: Accepted tokens.
+        ports: Access to the parts of the instance.
         wall: Returns the wall-clock time in seconds.
     """
 
@@ -110,84 +117,91 @@
         self._orders = order_store.OrderStore(
             ports.store, lambda: task.deferLater(reactor, _RETRY_S)
         )
-        self._gathering: dict[str, _Gathering] = {}
-        self._gathered = 0
-
-    def take(self, inbound: client_connections.Inbound, answer: _Answer) -> None:
-        """Handle one request."""
-        running = defer.ensureDeferred(self._handle(inbound))
-        running.addErrback(_unexpected)
-        running.addCallback(answer)
-
-    def told_loads(self, message: slot_messages.LoadReport) -> None:
-        """Take in the loads of another instance."""
-        gathering = self._gathering.get(message.id)
-        if gathering is None:
+        self._collections: dict[str, _LoadCollection] = {}
+        self._last_query = 0
+
+    def handle_request(self, inbound: client_connections.Inbound, respond: _Respond) -> None:
+        """Handle a request.
+
+        Args:
+            inbound: The request.
+            respond: Called once with the response.
+        """
+        running = defer.ensureDeferred(self._compute_response(inbound))
+        running.addErrback(_error_response)
+        running.addCallback(respond)
+
+    def record_load_report(self, message: slot_messages.LoadReport) -> None:
+        """Add the loads that another instance reports to the collection that asked for them."""
+        collection = self._collections.get(message.id)
+        if collection is None:
             return
-        gathering.loads += message.loads
-        gathering.missing -= 1
-        if gathering.missing <= 0 and not gathering.complete.called:
-            gathering.complete.callback(None)
+        collection.loads += message.loads
+        collection.pending -= 1
+        if collection.pending <= 0 and not collection.done.called:
+            collection.done.callback(None)
 
-    async def _handle(self, inbound: client_connections.Inbound) -> http1.Response:
+    async def _compute_response(self, inbound: client_connections.Inbound) -> http1.Response:
         head = inbound.head
         path = head.target.partition(b"?")[0].decode("latin-1")
         header = head.get("authorization")
-        author = self._roles.author(header)
+        author = self._roles.authenticate(header)
         if author is None:
             logs.warning("order-unauthenticated", peer=inbound.client)
-            return _answer(operator_queries.Answer(codes.Code.ORDER_UNAUTHENTICATED))
+            return _encode_answer(operator_queries.Answer(codes.Code.ORDER_UNAUTHENTICATED))
         if path == ORDERS_PATH and head.method == b"POST":
             may_order = self._roles.may_order(header)
-            return _answer(await self._order(inbound.body, author, may_order))
+            return _encode_answer(await self._execute(inbound.body, author, may_order))
         version = path.removeprefix(IN_FORCE_PATH)
         if path.startswith(IN_FORCE_PATH) and version.isdigit():
-            return self._progress(ids.Version(int(version)))
-        return _answer(operator_queries.Answer(codes.Code.ORDER_SYNTAX, f"there is no {path}"))
+            return self._rollout_response(ids.Version(int(version)))
+        return _encode_answer(
+            operator_queries.Answer(codes.Code.ORDER_SYNTAX, f"there is no {path}")
+        )
 
-    def _progress(self, version: ids.Version) -> http1.Response:
-        """Return how far a version is in force."""
+    def _rollout_response(self, version: ids.Version) -> http1.Response:
+        """Return on how many live instances a version of the orders is in force."""
         view = self._ports.view([])
         missing = operator_queries.instances_without(version, view.live_members)
         changes = view.orders.in_force.changes
-        at = next((c.at for c in changes if c.version == version), self._wall())
-        plain = {
+        accepted_at = next((c.at for c in changes if c.version == version), self._wall())
+        content = {
             "version": version,
             "in_force": len(view.live_members) - len(missing),
             "total": len(view.live_members),
             "missing": missing,
-            "seconds": round(max(0.0, self._wall() - at), 3),
+            "seconds": round(max(0.0, self._wall() - accepted_at), 3),
         }
-        return _json(200, plain)
+        return _json_response(200, content)
 
-    async def _order(
+    async def _execute(
         self, body: bytes, author: str, may_order: bool
     ) -> operator_queries.Answer:
         try:
-            plain = json.loads(body)
-            order = ids.OrderId(str(plain["id"]))
-            text = str(plain["text"])
-            base = None if plain.get("base") is None else ids.Version(int(plain["base"]))
+            content = json.loads(body)
+            order = ids.OrderId(str(content["id"]))
+            text = str(content["text"])
+            base = None if content.get("base") is None else ids.Version(int(content["base"]))
             statement = language.parse(text)
         except language.StatementSyntaxError as fault:
             return operator_queries.Answer(codes.Code.ORDER_SYNTAX, str(fault))
-        except (ValueError, KeyError, TypeError, AttributeError) as problem:
-            reason = f"the body must have id and text: {problem!r:.100}"
+        except (ValueError, KeyError, TypeError, AttributeError) as error:
+            reason = f"the body must have id and text: {error!r:.100}"
             return operator_queries.Answer(codes.Code.ORDER_SYNTAX, reason)
         context = order_commands.OrderContext(
             order, author, text, self._wall(), self._ports.names()
         )
         try:
             if isinstance(statement, statements.Command):
-                return await self._command(statement, context, base, may_order)
-            return await self._question(statement, context)
+                return await self._submit_command(statement, context, base, may_order)
+            return await self._answer_query(statement, context)
         except order_commands.OrderError as fault:
             logs.event(
                 "order-refused", order=order, author=author, text=text, reason=fault.text
             )
             return operator_queries.Answer(fault.code, fault.text)
 
-    async def _command(
+    async def _submit_command(
         self,
         command: statements.Command,
         context: order_commands.OrderContext,
@@ -199,9 +213,9 @@
                 "order-forbidden", author=context.author, order=context.order, text=context.text
             )
             return operator_queries.Answer(codes.Code.ORDER_FORBIDDEN)
-        book = await self._orders.submit(command, context, base)
-        change = book.change_of(context.order)
-        version = change.version if change is not None else book.version
+        order_state = await self._orders.submit(command, context, base)
+        change = order_state.change_of(context.order)
+        version = change.version if change is not None else order_state.version
         logs.event(
             "order-accepted",
             order=context.order,
@@ -211,35 +225,35 @@
         )
         return operator_queries.Answer(codes.Code.ORDER_ACCEPTED, "", version)
 
-    async def _question(
+    async def _answer_query(
         self, query: statements.Query | statements.DryRun, context: order_commands.OrderContext
     ) -> operator_queries.Answer:
-        view = self._ports.view(await self._gather_loads())
+        view = self._ports.view(await self._collect_loads())
         if isinstance(query, statements.DryRun):
             return operator_queries.dry_run(query.command, view, context)
         return operator_queries.answer(query, view)
 
-    async def _gather_loads(self) -> list[slot_messages.ShardLoad]:
-        """Return the loads of all shards whose instances answer in time."""
-        self._gathered += 1
-        name = f"{self._gathered:x}"
-        asked = self._ports.ask_loads(slot_messages.LoadQuery(name))
-        gathering = _Gathering(asked, self._ports.own_loads(), defer.Deferred())
+    async def _collect_loads(self) -> list[slot_messages.ShardLoad]:
+        """Return the loads of all shards whose instances report in time."""
+        self._last_query += 1
+        query_id = f"{self._last_query:x}"
+        asked = self._ports.send_load_query(slot_messages.LoadQuery(query_id))
+        collection = _LoadCollection(asked, self._ports.own_loads(), defer.Deferred())
         if asked:
-            self._gathering[name] = gathering
+            self._collections[query_id] = collection
             timer = self._reactor.callLater(
-                _LOADS_WAIT_S, lambda: gathering.complete.callback(None)
+                _LOADS_WAIT_S, lambda: collection.done.callback(None)
             )
-            await gathering.complete
+            await collection.done
             if timer.active():
                 timer.cancel()
-            del self._gathering[name]
-            if gathering.missing:
-                logs.warning("loads-incomplete", missing=gathering.missing)
-        return gathering.loads
+            del self._collections[query_id]
+            if collection.pending:
+                logs.warning("loads-incomplete", missing=collection.pending)
+        return collection.loads
 
 
-def _unexpected(reason: typing.Any) -> http1.Response:
+def _error_response(reason: typing.Any) -> http1.Response:
     if reason.check(order_codec.MalformedOrdersError):
         logs.error(
             "object-malformed",
@@ -251,21 +265,21 @@
         text = reason.getErrorMessage()
         logs.error("unhandled-error", text=text, trace=reason.getTraceback())
         code = codes.Code.ORDER_UNKNOWN
-    return _answer(operator_queries.Answer(code, reason.getErrorMessage()))
+    return _encode_answer(operator_queries.Answer(code, reason.getErrorMessage()))
 
 
-def _answer(result: operator_queries.Answer) -> http1.Response:
+def _encode_answer(result: operator_queries.Answer) -> http1.Response:
     info = result.code.value
-    plain = {
+    content = {
         "code": info.number,
         "text": result.text or info.text,
         "version": result.version,
         "columns": list(result.columns) or None,
         "rows": [list(row) for row in result.rows] if result.columns else None,
     }
-    return _json(info.http_status, plain)
+    return _json_response(info.http_status, content)
 
 
-def _json(status: int, plain: typing.Any) -> http1.Response:
+def _json_response(status: int, content: typing.Any) -> http1.Response:
     headers = ((b"Content-Type", b"application/json"),)
-    return http1.Response(status, b"Answer", headers, json.dumps(plain).encode() + b"\n")
+    return http1.Response(status, b"Answer", headers, json.dumps(content).encode() + b"\n")
--- a/src/carobhook/transport/operator_view.py
+++ b/src/carobhook/transport/operator_view.py
@@ -1,4 +1,4 @@
-"""What operators' questions are answered from, gathered from one instance and its peers."""
+"""State of an instance and its peers from which operators' queries are answered."""
 
 from collections.abc import Callable, Mapping
 
@@ -19,17 +19,17 @@
 
 @attrs.frozen
 class OperatorView:
-    """Knows where an instance keeps what operators ask for.
+    """Gives the operators' interface access to the parts of an instance.
 
     Attributes:
-        known: Servers and configuration.
-        orders: Operators' orders in force.
+        server_catalog: Servers and configuration.
+        orders: Steering by the orders in force.
         streams: Streams to the other instances.
-        desk: Dispatchers of this instance.
+        desk: Source of the loads of this instance's shards.
         regions: Regions by failure domain.
     """
 
-    known: catalog.Catalog
+    server_catalog: catalog.Catalog
     orders: steering.Steering
     streams: member_streams.MemberStreams
     desk: slot_desk.SlotDesk
@@ -38,17 +38,17 @@
     def ports(
         self, store: objects.ObjectStore, seconds: Callable[[], float]
     ) -> operator_api.OperatorPorts:
-        """Return what the operators' interface needs.
+        """Return the access that the operators' interface needs.
 
         Args:
-            store: The store.
+            store: The store, which keeps the orders.
             seconds: Returns the monotonic time in seconds.
         """
         return operator_api.OperatorPorts(
             store,
             lambda loads: self._view(loads, seconds()),
             lambda: self._names(seconds()),
-            lambda message: self._ask_loads(message, seconds()),
+            lambda message: self._send_load_query(message, seconds()),
             self.desk.loads,
         )
 
@@ -57,28 +57,28 @@
     ) -> operator_queries.InstanceView:
         return operator_queries.InstanceView(
             self.orders,
-            self.known.config,
-            self.known.servers(now),
+            self.server_catalog.config,
+            self.server_catalog.servers(now),
             self.streams.roster.live(now),
             loads,
             dict(self.regions),
         )
 
     def _names(self, now: float) -> order_commands.KnownNames:
-        config = self.known.config
+        config = self.server_catalog.config
         return order_commands.KnownNames(
             self.regions,
             tuple(config.services) if config is not None else (),
             tuple(route.name for route in config.routes) if config is not None else (),
-            [view.entry.name for view in self.known.servers(now)],
+            [view.entry.name for view in self.server_catalog.servers(now)],
         )
 
-    def _ask_loads(self, message: slot_messages.LoadQuery, now: float) -> int:
-        """Ask the instances that can give out slots; return how many were reached."""
+    def _send_load_query(self, message: slot_messages.LoadQuery, now: float) -> int:
+        """Send a query to the relays, which run the shards; return how many were reached."""
         live = self.streams.roster.live(now)
-        able = [
+        relays = [
             member.name
             for region in set(self.regions.values())
             for member in membership.relays(live, region)
         ]
-        return sum(self.streams.send(name, message) for name in able)
+        return sum(self.streams.send(name, message) for name in relays)
--- a/src/carobhook/transport/settings_watch.py
+++ b/src/carobhook/transport/settings_watch.py
@@ -1,4 +1,4 @@
-"""Notices that the settings file has changed, with a signal or without one."""
+"""Watch of the settings file, which is checked periodically and on a signal."""
 
 import pathlib
 from collections.abc import Callable
@@ -7,29 +7,29 @@
 
 
 class SettingsWatch:
-    """Reads the settings file again after each change.
+    """Loads the settings file again after each change.
 
-    Faulty settings change nothing: what was in force stays, and one line tells each fault.
+    Faulty settings change nothing: the former ones stay in force, and each fault is logged.
 
     Args:
-        path: The file.
-        changed: Called with settings that differ from the last ones.
+        path: The settings file.
+        on_change: Called with the new settings after a change of the file's text.
     """
 
     def __init__(
         self,
         path: pathlib.Path,
-        changed: Callable[[entry_settings.EntrySettings], object],
+        on_change: Callable[[entry_settings.EntrySettings], object],
     ) -> None:
         self._path = path
-        self._changed = changed
+        self._on_change = on_change
         self._text = self._read()
 
     def look(self, signalled: bool = False) -> None:
-        """Read the file, and tell if it has changed.
+        """Read the file, and pass on its settings if its text has changed.
 
         Args:
-            signalled: Whether somebody said that it has changed.
+            signalled: Whether a signal caused the check; an unchanged file is logged then.
         """
         text = self._read()
         if text is None or text == self._text:
@@ -39,15 +39,15 @@
         self._text = text
         try:
             loaded = entry_settings.loads(text, str(self._path))
-        except settings.SettingsError as group:
-            for fault in group.exceptions:
+        except settings.SettingsError as errors:
+            for fault in errors.exceptions:
                 logs.error("settings-faulty", path=self._path, fault=fault)
             return
-        self._changed(loaded)
+        self._on_change(loaded)
 
     def _read(self) -> str | None:
         try:
             return self._path.read_text("utf-8")
-        except (OSError, UnicodeDecodeError) as problem:
-            logs.warning("settings-faulty", path=self._path, fault=problem)
+        except (OSError, UnicodeDecodeError) as error:
+            logs.warning("settings-faulty", path=self._path, fault=error)
             return None
--- a/src/carobhook/transport/store_follow.py
+++ b/src/carobhook/transport/store_follow.py
@@ -1,4 +1,4 @@
-"""Keeps the catalog up to date: from the store itself, or from an instance that follows it."""
+"""Applies changes of store objects, from a watch of the store or from an instance's feed."""
 
 import json
 import random
@@ -24,7 +24,7 @@
 
 _DELAYS = backoff.Backoff(first_s=0.2, cap_s=1.0)
 _OPTIONS = object_watch.WatchOptions(wait_s=4.0, delays=_DELAYS, batch_delay_s=0.2)
-# Orders are few, and each call is paid for.
+# Orders change rarely and every call has a cost, so these calls wait longer for a change.
 _ORDERS_OPTIONS = object_watch.WatchOptions(wait_s=15.0, delays=_DELAYS, batch_delay_s=0.2)
 _KINDS = {
     names.CONFIG_KIND: _OPTIONS,
@@ -40,14 +40,14 @@
 
 @attrs.frozen
 class FeedPort:
-    """How other instances are reached.
+    """Access to the other instances that can feed this one or subscribe to it.
 
     Attributes:
         own: Name of this instance.
-        candidates: Returns the instances of the region that could follow the store for it, in
+        candidates: Returns the instances of the region that can follow the store for it, in
             order of preference.
-        relays: Returns the instances that speak for the region, ready or not.
-        send: Sends a message to an instance.
+        relays: Returns the relays of the region, ready or not.
+        send: Sends a message to an instance; returns False if there is no stream to it.
     """
 
     own: ids.InstanceId
@@ -57,107 +57,120 @@
 
 
 class StoreFollow:
-    """Follows the configuration, the servers and the evacuations.
+    """Keeps configuration, servers, evacuations and orders as the store has them.
+
+    The changes come from a watch of the store, or from the feed of an instance that watches it.
 
     Args:
         reactor: Source of time and timers.
-        platform: The store.
-        known: The catalog to keep.
-        orders: The operators' orders to keep.
+        platform_store: The store.
+        server_catalog: Catalog to update.
+        orders: Steering that gets the operators' orders.
         rng: Source of the jitter of delays.
-        changed: Called after each change to the catalog.
-        port: How other instances are reached.
+        on_change: Called after each update of the catalog or the orders.
+        peers: Access to the other instances.
     """
 
     def __init__(
         self,
         reactor: typing.Any,
-        platform: store.PlatformStore,
-        known: catalog.Catalog,
+        platform_store: store.PlatformStore,
+        server_catalog: catalog.Catalog,
         orders: steering.Steering,
         rng: random.Random,
-        changed: Callable[[], object],
-        port: FeedPort,
+        on_change: Callable[[], object],
+        peers: FeedPort,
     ) -> None:
         self._reactor = reactor
-        self._platform = platform
-        self._known = known
+        self._store = platform_store
+        self._catalog = server_catalog
         self._orders = orders
         self._rng = rng
-        self._changed = changed
-        self._port = port
+        self._on_change = on_change
+        self._peers = peers
         self._objects: dict[str, dict[str, feed_messages.FeedObject]] = {}
         self._revisions: dict[str, int] = {}
         self._evacuated: set[ids.FailureDomain] = set()
-        self._followers: list[object_watch.ObjectWatcher] = []
-        self._choice = store_feed.SourceSelector(port.own)
+        self._watchers: list[object_watch.ObjectWatcher] = []
+        self._source_selector = store_feed.SourceSelector(peers.own)
         self._subscribers = store_feed.Subscribers()
-        self._probing: defer.Deferred | None = None
+        self._running_probe: defer.Deferred | None = None
         self._probed_at = 0.0
 
     @property
-    def complete(self) -> bool:
-        """Return whether every kind is known."""
+    def is_complete(self) -> bool:
+        """Return whether the objects of every kind have been received."""
         return len(self._revisions) == len(_KINDS)
 
     @property
     def direct(self) -> bool:
-        """Return whether this instance follows the store itself."""
-        return bool(self._followers)
+        """Return whether this instance watches the store itself."""
+        return bool(self._watchers)
 
     def start(self) -> None:
-        """Begin to follow: another instance that is ready, or the store itself."""
+        """Start to follow the feed of another instance, or the store itself."""
         self.tick()
 
     def stop(self) -> None:
-        """Stop following."""
-        self._stop_followers()
-        if self._probing is not None:
-            self._probing.cancel()
+        """Stop watching the store, and cancel a probe in progress."""
+        self._stop_watching()
+        if self._running_probe is not None:
+            self._running_probe.cancel()
 
     def tick(self) -> None:
-        """Choose the source, prove that the store answers, and tell the subscribers."""
+        """Select the source; while it is the store, probe it and send progress messages."""
         now = self._reactor.seconds()
-        step = self._choice.decide(
-            self._port.candidates(), self._port.relays(), self.complete, now
+        decision = self._source_selector.decide(
+            self._peers.candidates(), self._peers.relays(), self.is_complete, now
         )
-        if step.subscribe_to is not None:
-            self._port.send(step.subscribe_to, feed_messages.FeedRequest())
-        if step.direct and not self._followers:
-            self._go_direct()
-        elif not step.direct and self._followers:
-            logs.event("store-followed-by", instance=step.source)
-            self._stop_followers()
-        if self._followers:
+        if decision.subscribe_to is not None:
+            self._peers.send(decision.subscribe_to, feed_messages.FeedRequest())
+        if decision.direct and not self._watchers:
+            self._start_watching()
+        elif not decision.direct and self._watchers:
+            logs.event("store-followed-by", instance=decision.source)
+            self._stop_watching()
+        if self._watchers:
             self._probe(now)
-            if store_feed.has_recent_answer(self._platform.answered_at, now):
-                told = feed_messages.FeedProgress(feed_messages.revision_pairs(self._revisions))
+            if store_feed.has_recent_answer(self._store.answered_at, now):
+                progress = feed_messages.FeedProgress(
+                    feed_messages.revision_pairs(self._revisions)
+                )
                 for name in self._subscribers.due(now):
-                    self._port.send(name, told)
+                    self._peers.send(name, progress)
+
+    def remove_subscriber(self, name: ids.InstanceId) -> None:
+        """Remove an instance that is gone from the subscribers.
 
-    def lost(self, name: ids.InstanceId) -> None:
-        """Forget an instance that is gone."""
+        Args:
+            name: The instance.
+        """
         self._subscribers.remove(name)
 
     def received(self, sender: ids.InstanceId, message: feed_messages.Message) -> None:
-        """Handle a message about the feed."""
+        """Handle a message of the feed protocol.
+
+        Args:
+            sender: Instance that sent it.
+            message: The message.
+        """
         now = self._reactor.seconds()
         if isinstance(message, feed_messages.FeedRequest):
-            if self._followers and self.complete:
+            if self._watchers and self.is_complete:
                 self._subscribers.add(sender)
                 for snapshot in self._snapshots():
-                    self._port.send(sender, snapshot)
+                    self._peers.send(sender, snapshot)
         elif isinstance(message, feed_messages.FeedProgress):
-            current = all(
+            is_current = all(
                 self._revisions.get(kind, -1) >= revision
                 for kind, revision in message.revisions
             )
-            self._choice.record_progress(sender, current, now)
+            self._source_selector.record_progress(sender, is_current, now)
         elif isinstance(message, feed_messages.FeedSnapshot):
             if message.revision >= self._revisions.get(message.kind, 0):
-                self._replace(message.kind, message.revision, message.items)
+                self._apply_snapshot(message.kind, message.revision, message.items)
         elif message.since <= self._revisions.get(message.kind, -1):
-            self._change(message.kind, message.revision, message.items)
+            self._apply_changes(message.kind, message.revision, message.items)
 
     def _snapshots(self) -> list[feed_messages.FeedSnapshot]:
         return [
@@ -167,136 +180,138 @@
             for kind, revision in self._revisions.items()
         ]
 
-    # The store itself.
+    # Watch of the store.
 
-    def _go_direct(self) -> None:
+    def _start_watching(self) -> None:
         logs.event("store-followed-directly", revisions=dict(self._revisions))
-        self._followers = [
+        self._watchers = [
             object_watch.ObjectWatcher(
-                self._platform,
+                self._store,
                 self._reactor,
                 self._rng,
                 (kind,),
-                self._hearer(kind),
+                self._update_handler(kind),
                 options=options,
                 resume_at=self._revisions.get(kind),
             )
             for kind, options in _KINDS.items()
         ]
-        for follower in self._followers:
-            follower.start().addErrback(_log_failure)
+        for watcher in self._watchers:
+            watcher.start().addErrback(_log_failure)
 
-    def _stop_followers(self) -> None:
-        followers, self._followers = self._followers, []
-        for follower in followers:
-            follower.stop()
+    def _stop_watching(self) -> None:
+        watchers, self._watchers = self._watchers, []
+        for watcher in watchers:
+            watcher.stop()
         self._subscribers.clear()
 
     def _probe(self, now: float) -> None:
-        idle_s = now - max(self._platform.answered_at, self._probed_at)
-        if self._probing is not None or idle_s < _PROBE_INTERVAL_S:
+        idle_s = now - max(self._store.answered_at, self._probed_at)
+        if self._running_probe is not None or idle_s < _PROBE_INTERVAL_S:
             return
         self._probed_at = now
-        self._probing = defer.ensureDeferred(self._platform.probe(_PROBE_TIMEOUT_S))
-        self._probing.addCallbacks(self._probe_answered, self._probe_failed)
+        self._running_probe = defer.ensureDeferred(self._store.probe(_PROBE_TIMEOUT_S))
+        self._running_probe.addCallbacks(self._probe_answered, self._probe_failed)
 
     def _probe_answered(self, _: object) -> None:
-        self._probing = None
+        self._running_probe = None
 
     def _probe_failed(self, reason: typing.Any) -> None:
-        self._probing = None
+        self._running_probe = None
         if reason.check(defer.CancelledError):
             return
         if not reason.check(objects.StoreError):
             _log_failure(reason)
             return
-        if self._known.store_lost_at is None:
+        if self._catalog.store_lost_at is None:
             logs.warning("store-unavailable", kind="probe", error=reason.value)
-        self._known.record_outage(self._reactor.seconds())
+        self._catalog.record_outage(self._reactor.seconds())
 
-    def _hearer(self, kind: str) -> object_watch.Handler:
-        return lambda message: self._hear(kind, message)
+    def _update_handler(self, kind: str) -> object_watch.Handler:
+        return lambda message: self._handle_update(kind, message)
 
-    def _hear(self, kind: str, message: object_watch.Update) -> None:
+    def _handle_update(self, kind: str, message: object_watch.Update) -> None:
         now = self._reactor.seconds()
         if isinstance(message, object_watch.WatchFailure):
-            if self._known.store_lost_at is None:
+            if self._catalog.store_lost_at is None:
                 logs.warning("store-unavailable", kind=kind, error=message.error)
-            self._known.record_outage(now)
+            self._catalog.record_outage(now)
             return
-        if self._known.store_lost_at is not None:
-            lost_s = now - self._known.store_lost_at
-            logs.event("store-answers", kind=kind, unavailable_s=round(lost_s, 3))
-        self._known.record_answer(now)
+        if self._catalog.store_lost_at is not None:
+            outage_s = now - self._catalog.store_lost_at
+            logs.event("store-answers", kind=kind, unavailable_s=round(outage_s, 3))
+        self._catalog.record_answer(now)
         if isinstance(message, object_watch.Snapshot):
-            items = tuple(_fed(item) for item in message.items[kind])
-            self._replace(kind, message.revision, items)
-            told: feed_messages.Message = feed_messages.FeedSnapshot(
+            items = tuple(_feed_object(item) for item in message.items[kind])
+            self._apply_snapshot(kind, message.revision, items)
+            feed_message: feed_messages.Message = feed_messages.FeedSnapshot(
                 kind, message.revision, items
             )
         else:
-            items = tuple(_fed(event) for event in message.events)
-            # The watch may have gone on since over changes of other kinds, untold.
+            items = tuple(_feed_object(event) for event in message.events)
+            # The watch advances without an update over changes of other kinds, so message.since
+            # can be newer than the last revision that subscribers have, and they would ignore
+            # the events.
             since = self._revisions.get(kind, message.since)
-            self._change(kind, message.revision, items)
-            told = feed_messages.FeedEvents(kind, since, message.revision, items)
+            self._apply_changes(kind, message.revision, items)
+            feed_message = feed_messages.FeedEvents(kind, since, message.revision, items)
         for name in self._subscribers.names:
-            self._port.send(name, told)
+            self._peers.send(name, feed_message)
 
-    # What is known.
+    # Updates of the catalog and the orders.
 
-    def _replace(
+    def _apply_snapshot(
         self, kind: str, revision: int, items: Iterable[feed_messages.FeedObject]
     ) -> None:
         now = self._reactor.seconds()
-        held = {item.name: item for item in items}
-        logs.event("objects-listed", kind=kind, objects=len(held), revision=revision)
-        before = self._objects.get(kind, {})
-        self._objects[kind] = held
+        current = {item.name: item for item in items}
+        logs.event("objects-listed", kind=kind, objects=len(current), revision=revision)
+        previous = self._objects.get(kind, {})
+        self._objects[kind] = current
         self._revisions[kind] = revision
         if kind == names.EVACUATIONS_KIND:
             self._evacuated.clear()
         if kind == names.SERVERS_KIND:
-            self._known.retain(frozenset(ids.Server(name) for name in held), now)
-        self._take(kind, _news(kind, held, before), now)
-        self._changed()
+            self._catalog.retain(frozenset(ids.Server(name) for name in current), now)
+        self._apply(kind, _select_changed(kind, current, previous), now)
+        self._on_change()
 
-    def _change(
+    def _apply_changes(
         self, kind: str, revision: int, items: Iterable[feed_messages.FeedObject]
     ) -> None:
-        held = self._objects.setdefault(kind, {})
+        current = self._objects.setdefault(kind, {})
         for item in items:
             if item.value is None:
-                held.pop(item.name, None)
+                current.pop(item.name, None)
             else:
-                held[item.name] = item
+                current[item.name] = item
         self._revisions[kind] = max(revision, self._revisions.get(kind, 0))
-        self._take(kind, items, self._reactor.seconds())
-        self._changed()
+        self._apply(kind, items, self._reactor.seconds())
+        self._on_change()
 
-    def _take(self, kind: str, items: Iterable[feed_messages.FeedObject], now: float) -> None:
+    def _apply(self, kind: str, items: Iterable[feed_messages.FeedObject], now: float) -> None:
         for item in items:
             if kind == names.CONFIG_KIND:
-                self._take_config(item)
+                self._apply_config(item)
             elif kind == names.SERVERS_KIND:
-                self._take_server(item, now)
+                self._apply_server(item, now)
             elif kind == orders.STORE_KIND:
-                self._take_orders(item)
+                self._apply_orders(item)
             else:
-                self._take_evacuation(item)
+                self._apply_evacuation(item)
         if kind == names.EVACUATIONS_KIND:
-            self._known.set_evacuated(frozenset(self._evacuated))
+            self._catalog.set_evacuated(frozenset(self._evacuated))
 
-    def _take_config(self, item: feed_messages.FeedObject) -> None:
+    def _apply_config(self, item: feed_messages.FeedObject) -> None:
         if item.name != names.CONFIG_NAME or item.value is None:
             return
-        config = _decoded(
+        config = _decode_or_warn(
             f"{names.CONFIG_KIND}/{item.name}",
             item.value,
             platform_objects.decode_config,
             platform_objects.MalformedObjectError,
         )
-        if config is not None and self._known.replace_config_if_newer(config):
+        if config is not None and self._catalog.replace_config_if_newer(config):
             logs.event(
                 "config-in-force",
                 version=f"{config.version:08x}",
@@ -304,35 +319,35 @@
                 routes=len(config.routes),
             )
 
-    def _take_orders(self, item: feed_messages.FeedObject) -> None:
+    def _apply_orders(self, item: feed_messages.FeedObject) -> None:
         if item.name != orders.STORE_NAME or item.value is None:
             return
-        # Imported late, as most instances never see an order.
+        # Imported here, as the decoder costs memory, and most instances never get an order.
         from carobhook.protocol import order_codec
 
-        book = _decoded(
+        order_state = _decode_or_warn(
             f"{orders.STORE_KIND}/{item.name}",
             item.value,
             order_codec.decode,
             order_codec.MalformedOrdersError,
         )
-        if book is not None and self._orders.replace_if_newer(book):
-            logs.event("orders-in-force", version=book.version, revision=item.version)
+        if order_state is not None and self._orders.replace_if_newer(order_state):
+            logs.event("orders-in-force", version=order_state.version, revision=item.version)
 
-    def _take_server(self, item: feed_messages.FeedObject, now: float) -> None:
+    def _apply_server(self, item: feed_messages.FeedObject, now: float) -> None:
         name = ids.Server(item.name)
         if item.value is None:
             logs.event("server-removed", server=name, revision=item.version)
-            self._known.remove(name, now)
+            self._catalog.remove(name, now)
             return
-        entry = _decoded(
+        entry = _decode_or_warn(
             f"{names.SERVERS_KIND}/{item.name}",
             item.value,
             platform_objects.decode_server,
             platform_objects.MalformedObjectError,
         )
         if entry is None:
-            self._known.remove(name, now)
+            self._catalog.remove(name, now)
             return
         logs.event(
             "server-seen",
@@ -343,9 +358,9 @@
             cold_s=entry.cold_s,
             revision=item.version,
         )
-        self._known.put(entry, now)
+        self._catalog.put(entry, now)
 
-    def _take_evacuation(self, item: feed_messages.FeedObject) -> None:
+    def _apply_evacuation(self, item: feed_messages.FeedObject) -> None:
         zone = ids.FailureDomain(item.name)
         logs.event("evacuation", zone=zone, begun=item.value is not None, revision=item.version)
         if item.value is None:
@@ -354,39 +369,47 @@
             self._evacuated.add(zone)
 
 
-def _decoded(
+def _decode_or_warn(
     name: str,
     value: bytes,
     decode: Callable[[typing.Any], _T],
     malformed: type[Exception],
 ) -> _T | None:
-    """Return what an object holds, None for one that cannot be read, which one line tells.
+    """Return an object's decoded value, or None for a malformed one, which logs a warning.
 
     Args:
         name: Kind and name of the object.
-        value: Its value in JSON.
-        decode: Makes it of the value's plain form.
-        malformed: What ``decode`` raises if it cannot.
+        value: Value of the object in JSON.
+        decode: Decodes the value that the JSON parser returns.
+        malformed: Exception that ``decode`` raises for a malformed value.
     """
     try:
         return decode(json.loads(value))
-    except malformed as problem:
-        logs.warning("object-malformed", object=name, error=problem)
+    except malformed as error:
+        logs.warning("object-malformed", object=name, error=error)
         return None
 
 
-def _news(
+def _select_changed(
     kind: str,
-    held: dict[str, feed_messages.FeedObject],
-    before: dict[str, feed_messages.FeedObject],
+    current: dict[str, feed_messages.FeedObject],
+    previous: dict[str, feed_messages.FeedObject],
 ) -> list[feed_messages.FeedObject]:
-    """Return what a listing holds that was not known; what was evacuated is told anew."""
+    """Return the objects of a snapshot that are new or changed.
+
+    For evacuations these are all, as the set of evacuated failure domains was cleared.
+
+    Args:
+        kind: Kind of the objects.
+        current: Objects of the snapshot by name.
+        previous: Objects before the snapshot by name.
+    """
     if kind == names.EVACUATIONS_KIND:
-        return list(held.values())
-    return [item for item in held.values() if item != before.get(item.name)]
+        return list(current.values())
+    return [item for item in current.values() if item != previous.get(item.name)]
 
 
-def _fed(item: objects.StoredObject | objects.WatchEvent) -> feed_messages.FeedObject:
+def _feed_object(item: objects.StoredObject | objects.WatchEvent) -> feed_messages.FeedObject:
     value = None
     if item.value is not None:
         value = json.dumps(item.value, separators=(",", ":")).encode()
--- a/src/carobhook/transport/tls.py
+++ b/src/carobhook/transport/tls.py
@@ -1,4 +1,4 @@
-"""TLS of the daemon's ports, by settings; plain TCP without."""
+"""TLS contexts of an instance's ports, loaded from the files that the settings name."""
 
 import pathlib
 import typing
@@ -12,13 +12,13 @@
 
 @attrs.frozen
 class Contexts:
-    """How connections are secured.
+    """TLS contexts by kind of connection.
 
     Attributes:
-        server: For callers and operators, who check the certificate of the instance.
-        peers: For instances, both of which need a certificate of the deployment's
-            authority. The name in it is not compared, as instances are known by IP address
-            and prove themselves by the shared key besides.
+        server: Context for operators, whose clients verify the certificate of the instance.
+        peers: Context for streams between instances, both of which need a certificate of the
+            deployment's authority. The name in it is not compared, as instances are known by
+            IP address and also authenticate each other by the shared key.
     """
 
     server: typing.Any
@@ -26,46 +26,51 @@
 
 
 def load(tls: settings.TlsSettings) -> Contexts | None:
-    """Return the contexts of the settings, None when they set no certificate.
+    """Return the contexts for the settings, or None if they name no certificate.
 
     Raises:
-        settings.TlsFilesError: A file cannot be read or does not hold what it should.
+        settings.TlsFilesError: A file cannot be read, is not in PEM, or the key does not
+            belong to the certificate.
     """
     if not tls.cert:
         return None
-    chain = _read("cert", tls.cert, _certificates)
-    key = _read("key", tls.key, _private_key)
-    authorities = _read("ca", tls.ca, _certificates)
-    own = {
+    chain = _load_file("cert", tls.cert, _parse_certificates)
+    key = _load_file("key", tls.key, _parse_private_key)
+    authorities = _load_file("ca", tls.ca, _parse_certificates)
+    credentials = {
         "privateKey": key.original,
         "certificate": chain[0].original,
         "extraCertChain": [link.original for link in chain[1:]],
     }
     try:
-        server = ssl.CertificateOptions(**own)
+        server = ssl.CertificateOptions(**credentials)
         peers = ssl.CertificateOptions(
-            **own, trustRoot=ssl.trustRootFromCertificates(authorities)
+            **credentials, trustRoot=ssl.trustRootFromCertificates(authorities)
         )
         for context in (server, peers):
             context.getContext().check_privatekey()
-    except Exception as problem:
-        raise settings.TlsFilesError(f"tls.cert and tls.key: {_cause(problem)}") from problem
+    except Exception as error:
+        raise settings.TlsFilesError(f"tls.cert and tls.key: {_error_text(error)}") from error
     return Contexts(server, peers)
 
 
-def _read(key: str, name: str, parse: typing.Callable[[bytes], typing.Any]) -> typing.Any:
+def _load_file(key: str, name: str, parse: typing.Callable[[bytes], typing.Any]) -> typing.Any:
     try:
         return parse(pathlib.Path(name).read_bytes())
-    except OSError as problem:
-        raise settings.TlsFilesError(f"tls.{key}: {name}: {problem.strerror}") from problem
-    except Exception as problem:
+    except OSError as error:
+        raise settings.TlsFilesError(f"tls.{key}: {name}: {error.strerror}") from error
+    except Exception as error:
         raise settings.TlsFilesError(
-            f"tls.{key}: {name}: not in PEM: {_cause(problem)}"
-        ) from problem
+            f"tls.{key}: {name}: not in PEM: {_error_text(error)}"
+        ) from error
 
 
-def _certificates(data: bytes) -> list[typing.Any]:
-    """Return the certificates of a PEM text, at least one."""
+def _parse_certificates(data: bytes) -> list[typing.Any]:
+    """Return the certificates of a PEM text.
+
+    Raises:
+        ValueError: The text has no certificate.
+    """
     end = b"-----END CERTIFICATE-----"
     blocks = [
         block + end for block in data.split(end) if b"-----BEGIN CERTIFICATE-----" in block
@@ -75,9 +80,9 @@
     return [ssl.Certificate.loadPEM(block) for block in blocks]
 
 
-def _private_key(data: bytes) -> typing.Any:
+def _parse_private_key(data: bytes) -> typing.Any:
     return ssl.KeyPair.load(data, crypto.FILETYPE_PEM)
 
 
-def _cause(problem: Exception) -> str:
-    return str(problem) or type(problem).__name__
+def _error_text(error: Exception) -> str:
+    return str(error) or type(error).__name__
--- a/tests/test_explaining.py
+++ b/tests/test_explaining.py
@@ -1,4 +1,4 @@
-"""Failed requests of a real instance, each explained from its log lines alone."""
+"""Tests that the log lines of a running instance explain each failure of a request."""
 
 import logging
 import re
@@ -11,8 +11,8 @@
 from carobhook.state import codes
 
 
-class Lines(logging.Handler):
-    """Keeps the lines as they are written."""
+class LineRecorder(logging.Handler):
+    """Log handler that keeps the formatted lines."""
 
     def __init__(self):
         super().__init__()
@@ -23,24 +23,24 @@
         self.lines.append(self.format(record))
 
 
-class TestCauses(test_entry.EntryCase):
-    """Each way in which a request can fail, and the cause that its lines name."""
+class TestFailureCauses(test_entry.EntryCase):
+    """The code and the cause that the log lines give for each kind of failure."""
 
     async def setUp(self):
-        """Keep the log of a running instance."""
-        self.log = Lines()
+        """Start an instance, and keep its log lines."""
+        self.log = LineRecorder()
         logs.setup_handler(settings.LogSettings(form="json"), self.log, "one")
         self.addCleanup(logging.getLogger().removeHandler, self.log)
         await super().setUp()
 
     def trace(self, request):
-        """Return what the lines tell of a request."""
+        """Return the trace of a request that is read from the log lines."""
         found = request_trace.read(self.log.lines)
         assert request in found, request
         return found[request]
 
-    def check(self, request, code, *words):
-        """Check the code and the cause of a failed request."""
+    def check_failure(self, request, code, *words):
+        """Check the code of a failed request, and that its cause contains some words."""
         trace = self.trace(request)
         assert trace.code is code, (trace.code, trace.cause)
         assert trace.failed
@@ -49,34 +49,34 @@
             assert word in trace.cause, trace.cause
 
     async def test_no_route(self):
-        """1054 names the host and path."""
+        """1054 gives the path."""
         await self.request("/nowhere/", X_Attempt_Id="a")
-        self.check("a", codes.Code.NO_ROUTE, "/nowhere/")
+        self.check_failure("a", codes.Code.NO_ROUTE, "/nowhere/")
 
     async def test_bad_header(self):
-        """1002 names the value."""
+        """1002 gives the malformed value."""
         answer = await self.request(X_Attempt_Id="a", X_Deadline_Ms="soon")
         assert answer.status == 400
-        self.check("a", codes.Code.BAD_REQUEST, "soon")
+        self.check_failure("a", codes.Code.BAD_REQUEST, "soon")
 
     async def test_no_configuration(self):
-        """1051, while nothing is known yet."""
+        """1051 is given while the instance has no configuration."""
         self.store.remove("config", "main")
         self.daemons.append(await self.start_instance("two"))
         await self.request(X_Attempt_Id="a", instance="two")
-        self.check("a", codes.Code.NO_CONFIG)
+        self.check_failure("a", codes.Code.NO_CONFIG)
 
     async def test_no_server(self):
-        """1010 tells that no server is known."""
+        """1010 gives the number of usable servers."""
         for name in self.backends:
             self.register(name, state="draining")
-        known = self.daemons[0]._known
-        await self.until(lambda: not known.servers(reactor.seconds()))
+        server_catalog = self.daemons[0]._known
+        await self.until(lambda: not server_catalog.servers(reactor.seconds()))
         await self.request(X_Attempt_Id="a")
-        self.check("a", codes.Code.NO_BACKEND, "servers=0")
+        self.check_failure("a", codes.Code.NO_BACKEND, "servers=0")
 
-    async def test_no_room(self):
-        """1012 tells how many ran and waited."""
+    async def test_deadline_unmeetable(self):
+        """1012 gives the numbers of running and waiting requests."""
         self.behave(work_s=1.2)
         running = [
             defer.ensureDeferred(self.request(X_Attempt_Id=f"r{number}"))
@@ -86,52 +86,54 @@
         traces = [self.trace(f"r{number}") for number in range(40)]
         refused = [t for t in traces if t.code is codes.Code.DEADLINE_UNMEETABLE]
         assert refused
-        self.check(refused[0].request, codes.Code.DEADLINE_UNMEETABLE, "waiting=")
-        # How many slots there are depends on what is lent to the other region just then.
+        self.check_failure(refused[0].request, codes.Code.DEADLINE_UNMEETABLE, "waiting=")
+        # The number of slots varies, as some are lent to the other region at times.
         running = re.search(r"running=(\d+)/(\d+)", self.trace(refused[0].request).cause)
         assert running is not None
         assert running[1] == running[2]
 
     async def test_shed(self):
-        """1014 after every attempt was shed."""
+        """1014 gives the number of attempts, all of which were shed."""
         self.behave(shed=True)
         await self.request(X_Attempt_Id="a")
-        self.check("a", codes.Code.BACKEND_SHED, "2 sends")
+        self.check_failure("a", codes.Code.BACKEND_SHED, "2 sends")
 
-    async def test_server_breaks(self):
-        """1020 names the server and what its connection did."""
+    async def test_connection_reset(self):
+        """1020 gives the server and that its connection was reset."""
         self.behave(reset=True)
         await self.request("/u/x", method=b"POST", X_Attempt_Id="a")
-        self.check("a", codes.Code.BACKEND_LOST, "i-", "reset")
+        self.check_failure("a", codes.Code.BACKEND_LOST, "i-", "reset")
 
     async def test_timeout(self):
-        """1021 of work that runs on tells what came of it."""
+        """1021 gives the status of a response that arrives after the deadline."""
         self.behave(work_s=1.8)
         await self.request("/u/x", method=b"POST", X_Attempt_Id="a")
         await self.until(lambda: any("work-ended-late" in line for line in self.log.lines))
-        self.check("a", codes.Code.DEADLINE_PASSED_RUNNING, "1 sends", "with status 200")
+        self.check_failure(
+            "a", codes.Code.DEADLINE_PASSED_RUNNING, "1 sends", "with status 200"
+        )
 
-    async def test_client_leaves(self):
-        """1019, whether it waited or ran."""
+    async def test_client_disconnects(self):
+        """1019 is given to a request whose client closes its connection."""
         self.behave(work_s=1.0)
         head = "GET /a/x HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a\r\n\r\n"
         client = await self.raw(head.encode(), wait_s=0.2)
         client.transport.abortConnection()
         await self.until(lambda: any('"request": "a"' in line for line in self.log.lines))
-        self.check("a", codes.Code.CALLER_GONE)
+        self.check_failure("a", codes.Code.CALLER_GONE)
 
     async def test_poison(self):
-        """1030, with the marks before it."""
+        """1030 follows the log lines of the marks that quarantined the request."""
         self.behave(reset=True)
         for number in range(poison.MARK_LIMIT):
             await self.request("/u/x", method=b"POST", X_Attempt_Id=f"p{number}")
             await task.deferLater(reactor, 1.0, lambda: None)
         await self.request("/u/x", method=b"POST", X_Attempt_Id="a")
-        self.check("a", codes.Code.POISONED)
+        self.check_failure("a", codes.Code.POISONED)
         assert sum("request-marked" in line for line in self.log.lines) >= 3
 
-    async def test_repeats_used_up(self):
-        """1052, when the service's share of repeats is gone."""
+    async def test_retry_budget_used_up(self):
+        """A request counts as failed if the retry budget does not allow its next attempt."""
         budget = self.daemons[0]._desk._shards.open(("north", "svc")).dispatcher.retry_budget
         for _ in range(200):
             budget.try_consume(reactor.seconds())
--- a/tests/test_settings_watch.py
+++ b/tests/test_settings_watch.py
@@ -22,31 +22,31 @@
 
 @pytest.fixture
 def watched(tmp_path):
-    """Return a file, a watch of it, and what the watch told."""
+    """Return a settings file, a watch of it, and the list of settings that it passes on."""
     path = tmp_path / "settings.toml"
     path.write_text(TEXT)
-    told = []
-    return path, settings_watch.SettingsWatch(path, told.append), told
+    received = []
+    return path, settings_watch.SettingsWatch(path, received.append), received
 
 
 class TestSettingsWatch:
     """Changes of the settings file."""
 
-    def test_change_is_told_once(self, watched):
-        """A change is noticed without a signal, and only when the text differs."""
-        path, watch, told = watched
+    def test_change_is_passed_on_once(self, watched):
+        """Settings are passed on without a signal, and only if the text of the file differs."""
+        path, watch, received = watched
         watch.look()
-        assert told == []
+        assert received == []
         path.write_text(TEXT.replace('ttl_max = "5s"', 'ttl_max = "4s"'))
         watch.look()
         watch.look(signalled=True)
-        assert [one.bounds.ttl_max_s for one in told] == [4.0]
+        assert [one.bounds.ttl_max_s for one in received] == [4.0]
 
     def test_faulty_or_missing_file_changes_nothing(self, watched):
-        """What was in force stays when the new text cannot be used."""
-        path, watch, told = watched
+        """Settings that are faulty or cannot be read are not passed on."""
+        path, watch, received = watched
         path.write_text(TEXT.replace("budget_ratio = 0.2", "budget_ratio = -1"))
         watch.look(signalled=True)
         path.unlink()
         watch.look(signalled=True)
-        assert told == []
+        assert received == []
--- a/tests/test_stuck_reader.py
+++ b/tests/test_stuck_reader.py
@@ -1,4 +1,7 @@
-"""A real instance whose standard output nobody reads: no request waits for its log."""
+"""Tests that requests are not delayed while nobody reads an instance's standard output.
+
+The pipe fills up then, and an instance that blocked on writing a log line would serve nothing.
+"""
 
 import os
 import pathlib
@@ -13,7 +16,7 @@
 from carobhook.transport import server_connections
 
 _RATE = 150.0
-# Each leaves a line of a kilobyte, which fill the pipe and the instance's buffer.
+# Each is logged in a line of a kilobyte; together they fill the pipe and the instance's buffer.
 _REQUESTS = 1500
 _SLACK_S = 0.05
 
@@ -22,14 +25,14 @@
     """A deployment whose first instance writes into a pipe that is never read."""
 
     def start_instance(self, index):
-        """Start the process."""
+        """Start the process of an instance; that of the first writes into the pipe."""
         if index:
             super().start_instance(index)
             return
-        self.output, write = os.pipe()
+        self.output, write_end = os.pipe()
         self._processes[index] = subprocess.Popen(
             [sys.executable, "-m", "carobhook.entry"],
-            stdout=write,
+            stdout=write_end,
             stderr=subprocess.DEVNULL,
             stdin=subprocess.DEVNULL,
             env={
@@ -38,10 +41,10 @@
                 "CAROBHOOK_SETTINGS": str(self._directory / f"i{index}.toml"),
             },
         )
-        os.close(write)
+        os.close(write_end)
 
     async def wait_until_ready(self, index):
-        """Wait until the platform would count it as ready."""
+        """Wait until an instance answers the readiness probe with 200."""
         connections = server_connections.ServerConnections(reactor, 1.0)
         address = f"127.0.0.1:{self._instance_ports[index]['readiness']}"
         head = http1.RequestHead(b"GET", b"/-/readiness", ((b"Host", b"x"),))
@@ -57,32 +60,35 @@
 
 
 class TestStuckReader(unittest.TestCase):
-    """Lines are left out; requests are not."""
+    """Log lines are omitted, while every request is answered."""
 
     timeout = 90
 
-    async def test_no_request_waits_for_the_reader(self):
-        """Beside an instance whose output is read, it answers all, and as fast."""
+    async def test_unread_output_delays_no_request(self):
+        """It answers all requests, and about as fast as an instance whose output is read."""
         directory = pathlib.Path(self.mktemp())
         directory.mkdir(parents=True)
-        one = UnreadDeployment(reactor, directory, 2, 6)
+        instances = UnreadDeployment(reactor, directory, 2, 6)
         try:
-            await one.start()
-            calls = [self.call(one, number % 2, number) for number in range(_REQUESTS)]
-            taken = await defer.gatherResults(calls)
-            omitted = await self.omitted(one)
+            await instances.start()
+            calls = [self.call(instances, number % 2, number) for number in range(_REQUESTS)]
+            durations = await defer.gatherResults(calls)
+            omitted = await self.count_omitted(instances)
         finally:
-            os.close(one.output)
-            await one.stop()
-        unread, read = sorted(taken[::2]), sorted(taken[1::2])
-        place = int(0.95 * len(unread))
+            os.close(instances.output)
+            await instances.stop()
+        unread, read = sorted(durations[::2]), sorted(durations[1::2])
+        p95_index = int(0.95 * len(unread))
         assert omitted > 0
-        assert unread[place] <= 1.5 * read[place] + _SLACK_S, (unread[place], read[place])
+        assert unread[p95_index] <= 1.5 * read[p95_index] + _SLACK_S, (
+            unread[p95_index],
+            read[p95_index],
+        )
 
-    async def omitted(self, one):
-        """Return how many lines the instance that nobody reads has left out."""
+    async def count_omitted(self, instances):
+        """Return the number of lines that the instance with the unread output has omitted."""
         connections = server_connections.ServerConnections(reactor, 1.0)
-        address = f"127.0.0.1:{one._instance_ports[0]['metrics']}"
+        address = f"127.0.0.1:{instances._instance_ports[0]['metrics']}"
         head = http1.RequestHead(b"GET", b"/metrics", ((b"Host", b"x"),))
         received = await connections.exchange(address, head, b"", careful=True)
         connections.stop()
@@ -90,14 +96,14 @@
         found = [line for line in lines if line.startswith("carobhook_log_lines_omitted ")]
         return float(found[0].split()[1])
 
-    def call(self, one, index, number):
-        """Send a request in its turn; fires with the seconds until its answer."""
-        return defer.ensureDeferred(self._call(one, index, number))
+    def call(self, instances, index, number):
+        """Send a request at its time; return a Deferred of the seconds until its response."""
+        return defer.ensureDeferred(self._call(instances, index, number))
 
-    async def _call(self, one, index, number):
+    async def _call(self, instances, index, number):
         await task.deferLater(reactor, number / _RATE)
         connections = server_connections.ServerConnections(reactor, 5.0)
-        address = f"127.0.0.1:{one._instance_ports[index]['http']}"
+        address = f"127.0.0.1:{instances._instance_ports[index]['http']}"
         path = f"/nowhere-{'x' * 900}/{number}".encode()
         headers = ((b"Host", b"demo.example"), (b"X-Attempt-Id", str(number).encode()))
         began_at = reactor.seconds()
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""Tests of carobhook.transport.tls, with certificates made here."""
+"""Tests of carobhook.transport.tls, with certificates that they issue themselves."""
 
 import datetime
 import ipaddress
@@ -23,7 +23,10 @@
 
 
 def issue(name, issuer=None):
-    """Return a new key and a certificate for 127.0.0.1; an authority without an issuer."""
+    """Return a new key and its certificate for 127.0.0.1.
+
+    Without an issuer, the certificate is that of an authority.
+    """
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(oid.NameOID.COMMON_NAME, name)])
     issuer_key, issuer_name = (issuer[0], issuer[1].subject) if issuer else (key, subject)
@@ -42,24 +45,24 @@
     return key, builder.sign(issuer_key, hashes.SHA256())
 
 
-def write(directory, authority, own):
+def write_files(directory, authority, certificate):
     """Write the PEM files of a certificate and return the settings that name them."""
     directory = pathlib.Path(directory)
     directory.mkdir(parents=True, exist_ok=True)
     pem = serialization.Encoding.PEM
     (directory / "ca").write_bytes(authority[1].public_bytes(pem))
-    (directory / "cert").write_bytes(own[1].public_bytes(pem))
+    (directory / "cert").write_bytes(certificate[1].public_bytes(pem))
     plain = serialization.NoEncryption()
     form = serialization.PrivateFormat.PKCS8
-    (directory / "key").write_bytes(own[0].private_bytes(pem, form, plain))
+    (directory / "key").write_bytes(certificate[0].private_bytes(pem, form, plain))
     return settings.TlsSettings(*(str(directory / part) for part in ("cert", "key", "ca")))
 
 
 class TestLoad:
-    """Files of the settings."""
+    """Loading the files that the settings name."""
 
-    def test_no_certificate_is_no_tls(self):
-        """Without files, ports speak plain TCP."""
+    def test_no_certificate_means_plain_tcp(self):
+        """Without files there are no contexts, so that ports use plain TCP."""
         assert tls.load(settings.TlsSettings()) is None
 
     @pytest.mark.parametrize("part", ["cert", "key", "ca"])
@@ -67,7 +70,7 @@
     def test_unusable_file_is_named(self, tmp_path, part, content):
         """A missing or malformed file is reported with its key and name."""
         authority = issue("authority")
-        files = write(tmp_path, authority, issue("one", authority))
+        files = write_files(tmp_path, authority, issue("one", authority))
         (tmp_path / part).unlink()
         if content:
             (tmp_path / part).write_bytes(content)
@@ -75,16 +78,16 @@
         with pytest.raises(settings.TlsFilesError, match=f"^tls.{part}: {tmp_path / part}: "):
             tls.load(files)
 
-    def test_key_of_another_certificate_is_refused(self, tmp_path):
-        """A private key that does not fit the certificate is reported."""
+    def test_key_of_other_certificate_is_rejected(self, tmp_path):
+        """A private key that does not belong to the certificate is reported."""
         authority = issue("authority")
-        files = write(tmp_path, authority, (issue("x")[0], issue("one", authority)[1]))
+        files = write_files(tmp_path, authority, (issue("x")[0], issue("one", authority)[1]))
 
         with pytest.raises(settings.TlsFilesError, match=r"tls\.cert and tls\.key"):
             tls.load(files)
 
 
-async def no_connection_left():
+async def wait_until_disconnected():
     """Wait until every connection of the reactor has closed."""
     while any(isinstance(reader, tcp.Connection) for reader in reactor.getReaders()):
         await task.deferLater(reactor, 0.01)
@@ -94,11 +97,11 @@
     """Streams between instances."""
 
     def setUp(self):
-        """Wait for closed streams after the hubs are stopped."""
-        self.addCleanup(lambda: defer.ensureDeferred(no_connection_left()))
+        """Wait until all connections have closed after the hubs are stopped."""
+        self.addCleanup(lambda: defer.ensureDeferred(wait_until_disconnected()))
 
     def hub(self, name, context, received=lambda sender, message: None):
-        """Return a hub that listens."""
+        """Return a hub that listens on a free port."""
         identity = peers.Identity(ids.InstanceId(name), ids.Incarnation("0" * 16), b"k" * 16)
         hub = peers.PeerHub(reactor, identity, received, peer_codec.CODEC, context=context)
         self.addCleanup(lambda: defer.ensureDeferred(hub.stop()))
@@ -106,7 +109,7 @@
         return hub
 
     async def exchange(self, sending, receiving, wait_s=_WAIT_S):
-        """Return what arrives of a message within the wait, or None."""
+        """Return the sender and the message that arrives, or None if none is sent in time."""
         arrived = defer.Deferred()
 
         def received(sender, message):
@@ -117,32 +120,34 @@
         sender = self.hub("sender", sending)
         address = receiver._own_address
         sender.connect(address)
-        wanted = slot_messages.NotDispatcher(ids.RequestId("3"))
+        message_sent = slot_messages.NotDispatcher(ids.RequestId("3"))
         for _ in range(int(wait_s / 0.05)):
-            if sender.send(address, wanted) or arrived.called:
+            if sender.send(address, message_sent) or arrived.called:
                 break
             await task.deferLater(reactor, 0.05)
         else:
             return None
         return await arrived
 
-    def contexts(self, authority):
-        """Return the peers' context of a new certificate."""
-        return tls.load(write(self.mktemp(), authority, issue("one", authority))).peers
+    def peer_context(self, authority):
+        """Return the context for peers with a new certificate of an authority."""
+        return tls.load(write_files(self.mktemp(), authority, issue("one", authority))).peers
 
-    async def test_instances_of_one_authority_talk(self):
+    async def test_instances_of_one_authority_exchange_messages(self):
         """Two instances with certificates of the deployment's authority exchange messages."""
         authority = issue("authority")
 
-        arrived = await self.exchange(self.contexts(authority), self.contexts(authority))
+        arrived = await self.exchange(
+            self.peer_context(authority), self.peer_context(authority)
+        )
 
         assert arrived == ("sender", slot_messages.NotDispatcher(ids.RequestId("3")))
 
-    async def test_strangers_are_refused(self):
-        """Neither another authority's certificate nor plain TCP gets a stream."""
-        own = self.contexts(issue("authority"))
+    async def test_peer_without_certificate_of_authority_is_rejected(self):
+        """No stream opens with a certificate of another authority or with plain TCP."""
+        own = self.peer_context(issue("authority"))
 
-        assert await self.exchange(self.contexts(issue("other")), own, wait_s=1) is None
+        assert await self.exchange(self.peer_context(issue("other")), own, wait_s=1) is None
         assert await self.exchange(None, own, wait_s=1) is None
         self.flushLoggedErrors()
 
@@ -150,24 +155,24 @@
 class TestOperators(unittest.TestCase):
     """The operator port."""
 
-    async def test_client_checks_the_instance(self):
-        """A client that trusts the authority gets its answer; one of another does not."""
+    async def test_client_verifies_certificate_of_instance(self):
+        """Only a client that trusts the authority of the instance gets a response."""
         authority = issue("authority")
-        files = write(self.mktemp(), authority, issue("one", authority))
-        other = write(self.mktemp(), issue("other"), issue("x"))
+        files = write_files(self.mktemp(), authority, issue("one", authority))
+        other = write_files(self.mktemp(), issue("other"), issue("x"))
         context = tls.load(files).server
-        table = http1.Response(200, b"OK", (), b'{"code": 2002, "text": "fine"}')
+        response = http1.Response(200, b"OK", (), b'{"code": 2002, "text": "fine"}')
         listener = client_connections.ClientListener(
-            reactor, lambda request, answer: answer(table), routing.ClientLimits, 8, 1024
+            reactor, lambda request, respond: respond(response), routing.ClientLimits, 8, 1024
         )
         port = sockets.listen(reactor, "127.0.0.1", 0, listener, context)
         self.addCleanup(port.stopListening)
         address = f"127.0.0.1:{port.getHost().port}"
         trusting = operator.HttpOperator(reactor, address, "t", pathlib.Path(files.ca))
-        doubting = operator.HttpOperator(reactor, address, "t", pathlib.Path(other.ca))
+        distrusting = operator.HttpOperator(reactor, address, "t", pathlib.Path(other.ca))
 
         answer = await trusting.send(operator.Order("show regions"))
         with self.assertRaises(operator.UnreachableError):
-            await doubting.send(operator.Order("show regions"))
+            await distrusting.send(operator.Order("show regions"))
 
         assert answer.text == "fine"
