--- a/src/carobhook/entry.py
+++ b/src/carobhook/entry.py
@@ -49,7 +49,7 @@
         defer.ensureDeferred(self._daemon.start()).addErrback(self._start_failed)
         # The reactor installs its own handlers when it starts, but none for this signal.
         signal.signal(signal.SIGHUP, self._signalled)
-        task.LoopingCall(self._watch.look).start(SETTINGS_INTERVAL_S, now=False)
+        task.LoopingCall(self._watch.check).start(SETTINGS_INTERVAL_S, now=False)
         task.LoopingCall(self._tend_output).start(OUTPUT_INTERVAL_S, now=False)
 
     def end(self) -> defer.Deferred:
@@ -59,7 +59,7 @@
         return defer.ensureDeferred(self._daemon.stop()).addErrback(self._stop_failed)
 
     def _signalled(self, number: int, frame: object) -> None:
-        reactor.callFromThread(self._watch.look, True)
+        reactor.callFromThread(self._watch.check, True)
 
     def _tend_output(self) -> None:
         self._handler.flush()
--- a/src/carobhook/transport/entry_daemon.py
+++ b/src/carobhook/transport/entry_daemon.py
@@ -24,7 +24,7 @@
     slot_desk,
     slot_shards,
     sockets,
-    store_follow,
+    store_sync,
 )
 
 _HEARTBEAT_S = 0.4
@@ -85,15 +85,15 @@
         self._clocks = clocks or Clocks()
         self._incarnation = ids.Incarnation(secrets.token_hex(ids.INCARNATION_LENGTH // 2))
         self._phase = members.Phase.STARTING
-        self._known = catalog.Catalog()
+        self._catalog = catalog.Catalog()
         self._orders = steering.Steering(settings.regions)
-        self._known.is_fully_drained = self._orders.is_fully_drained
+        self._catalog.is_fully_drained = self._orders.is_fully_drained
         self._store = store.PlatformStore(
             reactor, settings.store.address, settings.store.timeout_s, (names.SERVERS_KIND,)
         )
         self._tls = _load_tls_contexts(settings)
         self._streams = self._create_member_streams()
-        self._follow = self._create_store_sync(rng or random.Random())
+        self._store_sync = self._create_store_sync(rng or random.Random())
         self._desk = self._create_slot_allocator()
         self._servers = server_connections.ServerConnections(reactor, _CONNECT_TIMEOUT_S)
         self._metrics = entry_metrics.EntryMetrics(self._gauges(omitted))
@@ -126,15 +126,15 @@
             self._tls.peers if self._tls is not None else None,
         )
 
-    def _create_store_sync(self, rng: random.Random) -> store_follow.StoreFollow:
-        return store_follow.StoreFollow(
+    def _create_store_sync(self, rng: random.Random) -> store_sync.StoreSync:
+        return store_sync.StoreSync(
             self._reactor,
             self._store,
-            self._known,
+            self._catalog,
             self._orders,
             rng,
             self._on_catalog_change,
-            store_follow.FeedPort(
+            store_sync.FeedPeers(
                 self._settings.place.name,
                 self._feed_candidates,
                 self._region_relays,
@@ -148,7 +148,7 @@
             self._settings.place.name,
             self._settings.regions,
             self._streams.roster,
-            self._known,
+            self._catalog,
             self._orders,
             self._streams,
             self._slot_bounds(),
@@ -175,7 +175,7 @@
             place.failure_domain,
             self._incarnation,
             entry_requests.RequestPorts(
-                self._known,
+                self._catalog,
                 self._orders,
                 self._desk,
                 self._servers,
@@ -199,7 +199,7 @@
     def _gauges(
         self, omitted: Callable[[], int]
     ) -> dict[entry_metrics.EntryMetric, Callable[[], float]]:
-        server_catalog, seconds = self._known, self._reactor.seconds
+        server_catalog, seconds = self._catalog, self._reactor.seconds
         metric = entry_metrics.EntryMetric
         return {
             metric.IN_FLIGHT: lambda: self._requests.in_flight,
@@ -218,7 +218,7 @@
         }
 
     def _client_limits(self) -> routing.ClientLimits:
-        config = self._known.config
+        config = self._catalog.config
         return config.limits if config is not None else routing.ClientLimits()
 
     @property
@@ -244,7 +244,7 @@
             context = self._tls.server if self._tls is not None else None
             self._listen(place.operators, self._create_operator_listener(), context)
         self._streams.start(place.peers, place.seeds)
-        self._follow.start()
+        self._store_sync.start()
         self._start_loop(self._heartbeat, _HEARTBEAT_S)
         self._start_loop(self._tick, _TICK_S)
         self._start_loop(self._close_idle, _CLOSE_IDLE_S)
@@ -261,7 +261,7 @@
 
         security = self._settings.security
         view = operator_view.OperatorView(
-            self._known, self._orders, self._streams, self._desk, self._settings.regions
+            self._catalog, self._orders, self._streams, self._desk, self._settings.regions
         )
         self._operator_api = operator_api.OperatorApi(
             self._reactor,
@@ -324,7 +324,7 @@
         await self._shut_down()
 
     async def _shut_down(self) -> None:
-        self._follow.stop()
+        self._store_sync.stop()
         for loop in self._loops:
             loop.stop()
         for port in self._ports:
@@ -353,7 +353,7 @@
 
     def _own_member(self) -> members.Member:
         place = self._settings.place
-        config = self._known.config
+        config = self._catalog.config
         return members.Member(
             place.name,
             self._incarnation,
@@ -364,7 +364,7 @@
             self._phase,
             ids.Version(config.version if config is not None else 0),
             self._orders.in_force.version,
-            self._known.store_lost_at is None,
+            self._catalog.store_lost_at is None,
             self._weight(),
         )
 
@@ -376,11 +376,11 @@
     def _heartbeat(self) -> None:
         if (
             self._phase is members.Phase.STARTING
-            and self._known.config is not None
-            and self._follow.is_complete
+            and self._catalog.config is not None
+            and self._store_sync.is_complete
         ):
             self._phase = members.Phase.READY
-            logs.event("instance-ready", version=self._known.config.version)
+            logs.event("instance-ready", version=self._catalog.config.version)
         self._streams.beat()
 
     def _on_members_change(self) -> None:
@@ -388,11 +388,11 @@
 
     def _on_member_lost(self, name: ids.InstanceId) -> None:
         self._desk.lost(name)
-        self._follow.remove_subscriber(name)
+        self._store_sync.remove_subscriber(name)
 
     def _handle_message(self, sender: ids.InstanceId, message: typing.Any) -> None:
         if isinstance(message, feed_messages.Message):
-            self._follow.received(sender, message)
+            self._store_sync.handle_message(sender, message)
         elif isinstance(message, slot_messages.RequestMarked):
             self._requests.marked(message)
         elif isinstance(message, slot_messages.RequestCleared):
@@ -414,8 +414,8 @@
             self._heartbeat()
 
     def _tick(self) -> None:
-        self._follow.tick()
-        config = self._known.config
+        self._store_sync.tick()
+        config = self._catalog.config
         services = tuple(config.services) if config is not None else ()
         if self._orders.advance(services, self._reactor.seconds(), self._clocks.wall()):
             self._desk.servers_changed()
--- a/src/carobhook/transport/settings_watch.py
+++ b/src/carobhook/transport/settings_watch.py
@@ -25,7 +25,7 @@
         self._on_change = on_change
         self._text = self._read()
 
-    def look(self, signalled: bool = False) -> None:
+    def check(self, signalled: bool = False) -> None:
         """Read the file, and pass on its settings if its text has changed.
 
         Args:
--- a/src/carobhook/transport/store_follow.py
+++ b/src/carobhook/transport/store_sync.py
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen
-class FeedPort:
+class FeedPeers:
     """Access to the other instances that can feed this one or subscribe to it.
 
     Attributes:
@@ -56,7 +56,7 @@
     send: Callable[[ids.InstanceId, typing.Any], bool]
 
 
-class StoreFollow:
+class StoreSync:
     """Keeps configuration, servers, evacuations and orders as the store has them.
 
     The changes come from a watch of the store, or from the feed of an instance that watches it.
@@ -79,7 +79,7 @@
         orders: steering.Steering,
         rng: random.Random,
         on_change: Callable[[], object],
-        peers: FeedPort,
+        peers: FeedPeers,
     ) -> None:
         self._reactor = reactor
         self._store = platform_store
@@ -103,7 +103,7 @@
         return len(self._revisions) == len(_KINDS)
 
     @property
-    def direct(self) -> bool:
+    def is_direct(self) -> bool:
         """Return whether this instance watches the store itself."""
         return bool(self._watchers)
 
@@ -147,7 +147,7 @@
         """
         self._subscribers.remove(name)
 
-    def received(self, sender: ids.InstanceId, message: feed_messages.Message) -> None:
+    def handle_message(self, sender: ids.InstanceId, message: feed_messages.Message) -> None:
         """Handle a message of the feed protocol.
 
         Args:
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -265,7 +265,7 @@
         """With no server left, the refusal promises not-run and says when to come back."""
         for name in self.backends:
             self.store.remove("servers", name)
-        await self.until(lambda: not self.daemons[0]._known.servers(reactor.seconds()))
+        await self.until(lambda: not self.daemons[0]._catalog.servers(reactor.seconds()))
         began_at = reactor.seconds()
         answer = await self.request()
         assert answer.status == 503
@@ -344,7 +344,7 @@
     async def test_timeout_of_the_route_is_answered(self):
         """At the route's timeout the client gets 504, and the server stops its work."""
         self.store.put("config", "main", config(2, route(Timeout="300ms")))
-        await self.until(lambda: self.daemons[0]._known.config.version == 2)
+        await self.until(lambda: self.daemons[0]._catalog.config.version == 2)
         self.behave(work_s=5.0)
         began_at = reactor.seconds()
         answer = await self.request()
@@ -405,7 +405,7 @@
     async def test_draining_server_gets_nothing_new(self):
         """A server that says it leaves is out of use at once."""
         self.register("i-0", state="draining")
-        await self.until(lambda: len(self.daemons[0]._known.servers(reactor.seconds())) == 1)
+        await self.until(lambda: len(self.daemons[0]._catalog.servers(reactor.seconds())) == 1)
         for _ in range(4):
             await self.request()
         assert self.backends["i-0"].started_ids == []
@@ -417,7 +417,7 @@
         self.store.put("servers", "odd-state", {"Address": "1:1"}, {"State": "dancing"})
         await task.deferLater(reactor, 0.5, lambda: None)
         assert (await self.request()).status == 200
-        assert len(self.daemons[0]._known.servers(reactor.seconds())) == 2
+        assert len(self.daemons[0]._catalog.servers(reactor.seconds())) == 2
 
     async def test_requests_go_on_while_the_store_is_away(self):
         """What was in force stays, and the calls do not become a storm."""
@@ -429,15 +429,15 @@
         assert len(self.store.calls) - before < 40
         self.store.mode.refuse_status = 0
         self.store.put("config", "main", config(9, route()))
-        await self.until(lambda: self.daemons[0]._known.config.version == 9)
+        await self.until(lambda: self.daemons[0]._catalog.config.version == 9)
 
     async def test_evacuated_zone_gets_nothing(self):
         """Its servers are out of use until the evacuation is taken back."""
         self.register("i-0", zone="north-b")
         self.store.put("evacuations", "north-b", {})
-        await self.until(lambda: len(self.daemons[0]._known.servers(reactor.seconds())) == 1)
+        await self.until(lambda: len(self.daemons[0]._catalog.servers(reactor.seconds())) == 1)
         self.store.remove("evacuations", "north-b")
-        await self.until(lambda: len(self.daemons[0]._known.servers(reactor.seconds())) == 2)
+        await self.until(lambda: len(self.daemons[0]._catalog.servers(reactor.seconds())) == 2)
 
 
 class TestTwoInstances(EntryCase):
@@ -480,10 +480,10 @@
         """The other is told of changes by it, and takes over when it ends."""
         await self.join()
         await self.until(
-            lambda: sorted(d._follow.direct for d in self.daemons) == [False, True]
+            lambda: sorted(d._store_sync.is_direct for d in self.daemons) == [False, True]
         )
         self.store.put("config", "main", config(5, route()))
-        await self.until(lambda: all(d._known.config.version == 5 for d in self.daemons))
+        await self.until(lambda: all(d._catalog.config.version == 5 for d in self.daemons))
 
     async def test_leaving_instance_is_not_named(self):
         """The directory of the other drops it at once, and its requests end whole."""
@@ -569,7 +569,7 @@
         text = "drain server i-0 emergency cap 100% per 1s"
         status, answer = await self.order(text)
         assert (status, answer["code"], answer["version"]) == (200, 2001, 1)
-        known = self.daemons[0]._known
+        known = self.daemons[0]._catalog
         await self.until(lambda: not known.is_usable("i-0"))
         await self.until(lambda: self.daemons[0]._orders.in_force.version == 1)
         found = await self.progress(1)
--- a/tests/test_explaining.py
+++ b/tests/test_explaining.py
@@ -70,7 +70,7 @@
         """1010 gives the number of usable servers."""
         for name in self.backends:
             self.register(name, state="draining")
-        server_catalog = self.daemons[0]._known
+        server_catalog = self.daemons[0]._catalog
         await self.until(lambda: not server_catalog.servers(reactor.seconds()))
         await self.request(X_Attempt_Id="a")
         self.check_failure("a", codes.Code.NO_BACKEND, "servers=0")
--- a/tests/test_settings_watch.py
+++ b/tests/test_settings_watch.py
@@ -35,18 +35,18 @@
     def test_change_is_passed_on_once(self, watched):
         """Settings are passed on without a signal, and only if the text of the file differs."""
         path, watch, received = watched
-        watch.look()
+        watch.check()
         assert received == []
         path.write_text(TEXT.replace('ttl_max = "5s"', 'ttl_max = "4s"'))
-        watch.look()
-        watch.look(signalled=True)
+        watch.check()
+        watch.check(signalled=True)
         assert [one.bounds.ttl_max_s for one in received] == [4.0]
 
     def test_faulty_or_missing_file_changes_nothing(self, watched):
         """Settings that are faulty or cannot be read are not passed on."""
         path, watch, received = watched
         path.write_text(TEXT.replace("budget_ratio = 0.2", "budget_ratio = -1"))
-        watch.look(signalled=True)
+        watch.check(signalled=True)
         path.unlink()
-        watch.look(signalled=True)
+        watch.check(signalled=True)
         assert received == []
--- a/tests/test_store_feed.py
+++ b/tests/test_store_feed.py
@@ -8,7 +8,7 @@
 from carobhook.coordination import catalog, steering, store_feed
 from carobhook.platform import names
 from carobhook.state import ids
-from carobhook.transport import store_follow
+from carobhook.transport import store_sync
 
 OWN, OTHER, THIRD = ids.InstanceId("own"), ids.InstanceId("other"), ids.InstanceId("third")
 RELAYS = [OWN, OTHER]
@@ -128,38 +128,38 @@
         self.access = {name: Access(engine, self.clock) for name in (OWN, OTHER)}
         self.engine = engine
         self.known = {name: catalog.Catalog() for name in (OWN, OTHER)}
-        self.follow_by_name = {name: self.follow(name) for name in (OWN, OTHER)}
-        for one in self.follow_by_name.values():
+        self.sync_by_name = {name: self.create_sync(name) for name in (OWN, OTHER)}
+        for one in self.sync_by_name.values():
             one.start()
         self.run(3.0)
 
-    def follow(self, name):
-        """Return the `StoreFollow` of an instance; OTHER is the only candidate and relay."""
+    def create_sync(self, name):
+        """Return the `StoreSync` of an instance; OTHER is the only candidate and relay."""
 
         def send(to, message):
-            self.follow_by_name[to].received(name, message)
+            self.sync_by_name[to].handle_message(name, message)
             return True
 
-        return store_follow.StoreFollow(
+        return store_sync.StoreSync(
             self.clock,
             self.access[name],
             self.known[name],
             steering.Steering({}),
             random.Random(1),
             lambda: None,
-            store_follow.FeedPort(name, lambda: [OTHER], lambda: [OTHER], send),
+            store_sync.FeedPeers(name, lambda: [OTHER], lambda: [OTHER], send),
         )
 
     def run(self, seconds):
         """Simulate some seconds."""
         for _ in range(round(seconds * 10)):
             self.clock.advance(0.1)
-            for one in self.follow_by_name.values():
+            for one in self.sync_by_name.values():
                 one.tick()
 
     def test_subscriber_makes_no_calls_when_objects_change(self):
         """The feed stays complete when objects of several kinds change in turn."""
-        assert self.follow_by_name[OTHER].direct and not self.follow_by_name[OWN].direct
+        assert self.sync_by_name[OTHER].is_direct and not self.sync_by_name[OWN].is_direct
         before = self.access[OWN].calls
         for number in range(12):
             spec = {"Address": "a:1", "Info": {"Service": "svc", "Zone": "z", "Slots": 1}}
@@ -172,7 +172,7 @@
                     names.EVACUATIONS_KIND, f"z{number}", {}, self.clock.seconds()
                 )
             self.run(2.5)
-            assert not self.follow_by_name[OWN].direct
+            assert not self.sync_by_name[OWN].is_direct
         assert self.access[OWN].calls == before
         for known in self.known.values():
             assert len(known.servers(self.clock.seconds())) == 12
@@ -186,4 +186,4 @@
             lambda access: last_answer_at if access.down else access.clock.seconds()
         )
         self.run(3.0)
-        assert self.follow_by_name[OWN].direct
+        assert self.sync_by_name[OWN].is_direct
