--- a/src/carobhook/entry.py
+++ b/src/carobhook/entry.py
@@ -49,7 +49,7 @@
         defer.ensureDeferred(self._daemon.start()).addErrback(self._handle_start_failure)
         # The reactor installs its own signal handlers when it starts, but none for SIGHUP.
         signal.signal(signal.SIGHUP, self._handle_sighup)
-        task.LoopingCall(self._watch.look).start(SETTINGS_INTERVAL_S, now=False)
+        task.LoopingCall(self._watch.check).start(SETTINGS_INTERVAL_S, now=False)
         task.LoopingCall(self._flush_output).start(OUTPUT_INTERVAL_S, now=False)
 
     def stop(self) -> defer.Deferred:
@@ -64,7 +64,7 @@
         return defer.ensureDeferred(self._daemon.stop()).addErrback(self._handle_stop_failure)
 
     def _handle_sighup(self, number: int, frame: object) -> None:
-        reactor.callFromThread(self._watch.look, True)
+        reactor.callFromThread(self._watch.check, True)
 
     def _flush_output(self) -> None:
         self._handler.flush()
--- /dev/null
+++ b/src/carobhook/transport/store_sync.py
@@ -0,0 +1,420 @@
+"""Applies changes of store objects, from a watch of the store or from an instance's feed."""
+
+import json
+import random
+import typing
+from collections.abc import Callable, Iterable
+
+import attrs
+from twisted.internet import defer
+
+from carobhook import logs
+from carobhook.coordination import (
+    backoff,
+    catalog,
+    object_watch,
+    objects,
+    steering,
+    store_feed,
+)
+from carobhook.platform import names, store
+from carobhook.platform import objects as platform_objects
+from carobhook.protocol import feed_messages
+from carobhook.state import ids, orders
+
+_DELAYS = backoff.Backoff(first_s=0.2, cap_s=1.0)
+_OPTIONS = object_watch.WatchOptions(wait_s=4.0, delays=_DELAYS, batch_delay_s=0.2)
+# Orders change rarely and every call has a cost, so these calls wait longer for a change.
+_ORDERS_OPTIONS = object_watch.WatchOptions(wait_s=15.0, delays=_DELAYS, batch_delay_s=0.2)
+_KINDS = {
+    names.CONFIG_KIND: _OPTIONS,
+    names.SERVERS_KIND: _OPTIONS,
+    names.EVACUATIONS_KIND: _OPTIONS,
+    orders.STORE_KIND: _ORDERS_OPTIONS,
+}
+_T = typing.TypeVar("_T")
+
+_PROBE_INTERVAL_S = 0.5
+_PROBE_TIMEOUT_S = 0.5
+
+
+@attrs.frozen
+class FeedPeers:
+    """Access to the other instances that can feed this one or subscribe to it.
+
+    Attributes:
+        own: Name of this instance.
+        candidates: Returns the instances of the region that can follow the store for it, in
+            order of preference.
+        relays: Returns the relays of the region, ready or not.
+        send: Sends a message to an instance; returns False if there is no stream to it.
+    """
+
+    own: ids.InstanceId
+    candidates: Callable[[], list[ids.InstanceId]]
+    relays: Callable[[], list[ids.InstanceId]]
+    send: Callable[[ids.InstanceId, typing.Any], bool]
+
+
+class StoreSync:
+    """Keeps configuration, servers, evacuations and orders as the store has them.
+
+    The changes come from a watch of the store, or from the feed of an instance that watches it.
+
+    Args:
+        reactor: Source of time and timers.
+        platform_store: The store.
+        server_catalog: Catalog to update.
+        orders: Steering that gets the operators' orders.
+        rng: Source of the jitter of delays.
+        on_change: Called after each update of the catalog or the orders.
+        peers: Access to the other instances.
+    """
+
+    def __init__(
+        self,
+        reactor: typing.Any,
+        platform_store: store.PlatformStore,
+        server_catalog: catalog.Catalog,
+        orders: steering.Steering,
+        rng: random.Random,
+        on_change: Callable[[], object],
+        peers: FeedPeers,
+    ) -> None:
+        self._reactor = reactor
+        self._store = platform_store
+        self._catalog = server_catalog
+        self._orders = orders
+        self._rng = rng
+        self._on_change = on_change
+        self._peers = peers
+        self._objects: dict[str, dict[str, feed_messages.FeedObject]] = {}
+        self._revisions: dict[str, int] = {}
+        self._evacuated: set[ids.FailureDomain] = set()
+        self._watchers: list[object_watch.ObjectWatcher] = []
+        self._source_selector = store_feed.SourceSelector(peers.own)
+        self._subscribers = store_feed.Subscribers()
+        self._running_probe: defer.Deferred | None = None
+        self._probed_at = 0.0
+
+    @property
+    def is_complete(self) -> bool:
+        """Return whether the objects of every kind have been received."""
+        return len(self._revisions) == len(_KINDS)
+
+    @property
+    def is_direct(self) -> bool:
+        """Return whether this instance watches the store itself."""
+        return bool(self._watchers)
+
+    def start(self) -> None:
+        """Start to follow the feed of another instance, or the store itself."""
+        self.tick()
+
+    def stop(self) -> None:
+        """Stop watching the store, and cancel a probe in progress."""
+        self._stop_watching()
+        if self._running_probe is not None:
+            self._running_probe.cancel()
+
+    def tick(self) -> None:
+        """Select the source; while it is the store, probe it and send progress messages."""
+        now = self._reactor.seconds()
+        decision = self._source_selector.decide(
+            self._peers.candidates(), self._peers.relays(), self.is_complete, now
+        )
+        if decision.subscribe_to is not None:
+            self._peers.send(decision.subscribe_to, feed_messages.FeedRequest())
+        if decision.direct and not self._watchers:
+            self._start_watching()
+        elif not decision.direct and self._watchers:
+            logs.event("store-followed-by", instance=decision.source)
+            self._stop_watching()
+        if self._watchers:
+            self._probe(now)
+            if store_feed.has_recent_answer(self._store.answered_at, now):
+                progress = feed_messages.FeedProgress(
+                    feed_messages.revision_pairs(self._revisions)
+                )
+                for name in self._subscribers.due(now):
+                    self._peers.send(name, progress)
+
+    def remove_subscriber(self, name: ids.InstanceId) -> None:
+        """Remove an instance that is gone from the subscribers.
+
+        Args:
+            name: The instance.
+        """
+        self._subscribers.remove(name)
+
+    def handle_message(self, sender: ids.InstanceId, message: feed_messages.Message) -> None:
+        """Handle a message of the feed protocol.
+
+        Args:
+            sender: Instance that sent it.
+            message: The message.
+        """
+        now = self._reactor.seconds()
+        if isinstance(message, feed_messages.FeedRequest):
+            if self._watchers and self.is_complete:
+                self._subscribers.add(sender)
+                for snapshot in self._snapshots():
+                    self._peers.send(sender, snapshot)
+        elif isinstance(message, feed_messages.FeedProgress):
+            is_current = all(
+                self._revisions.get(kind, -1) >= revision
+                for kind, revision in message.revisions
+            )
+            self._source_selector.record_progress(sender, is_current, now)
+        elif isinstance(message, feed_messages.FeedSnapshot):
+            if message.revision >= self._revisions.get(message.kind, 0):
+                self._apply_snapshot(message.kind, message.revision, message.items)
+        elif message.since <= self._revisions.get(message.kind, -1):
+            self._apply_changes(message.kind, message.revision, message.items)
+
+    def _snapshots(self) -> list[feed_messages.FeedSnapshot]:
+        return [
+            feed_messages.FeedSnapshot(
+                kind, revision, tuple(self._objects.get(kind, {}).values())
+            )
+            for kind, revision in self._revisions.items()
+        ]
+
+    # Watch of the store.
+
+    def _start_watching(self) -> None:
+        logs.event("store-followed-directly", revisions=dict(self._revisions))
+        self._watchers = [
+            object_watch.ObjectWatcher(
+                self._store,
+                self._reactor,
+                self._rng,
+                (kind,),
+                self._update_handler(kind),
+                options=options,
+                resume_at=self._revisions.get(kind),
+            )
+            for kind, options in _KINDS.items()
+        ]
+        for watcher in self._watchers:
+            watcher.start().addErrback(_log_failure)
+
+    def _stop_watching(self) -> None:
+        watchers, self._watchers = self._watchers, []
+        for watcher in watchers:
+            watcher.stop()
+        self._subscribers.clear()
+
+    def _probe(self, now: float) -> None:
+        idle_s = now - max(self._store.answered_at, self._probed_at)
+        if self._running_probe is not None or idle_s < _PROBE_INTERVAL_S:
+            return
+        self._probed_at = now
+        self._running_probe = defer.ensureDeferred(self._store.probe(_PROBE_TIMEOUT_S))
+        self._running_probe.addCallbacks(self._probe_answered, self._probe_failed)
+
+    def _probe_answered(self, _: object) -> None:
+        self._running_probe = None
+
+    def _probe_failed(self, reason: typing.Any) -> None:
+        self._running_probe = None
+        if reason.check(defer.CancelledError):
+            return
+        if not reason.check(objects.StoreError):
+            _log_failure(reason)
+            return
+        if self._catalog.store_lost_at is None:
+            logs.warning("store-unavailable", kind="probe", error=reason.value)
+        self._catalog.record_outage(self._reactor.seconds())
+
+    def _update_handler(self, kind: str) -> object_watch.Handler:
+        return lambda message: self._handle_update(kind, message)
+
+    def _handle_update(self, kind: str, message: object_watch.Update) -> None:
+        now = self._reactor.seconds()
+        if isinstance(message, object_watch.WatchFailure):
+            if self._catalog.store_lost_at is None:
+                logs.warning("store-unavailable", kind=kind, error=message.error)
+            self._catalog.record_outage(now)
+            return
+        if self._catalog.store_lost_at is not None:
+            outage_s = now - self._catalog.store_lost_at
+            logs.event("store-answers", kind=kind, unavailable_s=round(outage_s, 3))
+        self._catalog.record_answer(now)
+        if isinstance(message, object_watch.Snapshot):
+            items = tuple(_feed_object(item) for item in message.items[kind])
+            self._apply_snapshot(kind, message.revision, items)
+            feed_message: feed_messages.Message = feed_messages.FeedSnapshot(
+                kind, message.revision, items
+            )
+        else:
+            items = tuple(_feed_object(event) for event in message.events)
+            # The watch advances without an update over changes of other kinds, so message.since
+            # can be newer than the last revision that subscribers have, and they would ignore
+            # the events.
+            since = self._revisions.get(kind, message.since)
+            self._apply_changes(kind, message.revision, items)
+            feed_message = feed_messages.FeedEvents(kind, since, message.revision, items)
+        for name in self._subscribers.names:
+            self._peers.send(name, feed_message)
+
+    # Updates of the catalog and the orders.
+
+    def _apply_snapshot(
+        self, kind: str, revision: int, items: Iterable[feed_messages.FeedObject]
+    ) -> None:
+        now = self._reactor.seconds()
+        current = {item.name: item for item in items}
+        logs.event("objects-listed", kind=kind, objects=len(current), revision=revision)
+        previous = self._objects.get(kind, {})
+        self._objects[kind] = current
+        self._revisions[kind] = revision
+        if kind == names.EVACUATIONS_KIND:
+            self._evacuated.clear()
+        if kind == names.SERVERS_KIND:
+            self._catalog.retain(frozenset(ids.Server(name) for name in current), now)
+        self._apply(kind, _select_changed(kind, current, previous), now)
+        self._on_change()
+
+    def _apply_changes(
+        self, kind: str, revision: int, items: Iterable[feed_messages.FeedObject]
+    ) -> None:
+        current = self._objects.setdefault(kind, {})
+        for item in items:
+            if item.value is None:
+                current.pop(item.name, None)
+            else:
+                current[item.name] = item
+        self._revisions[kind] = max(revision, self._revisions.get(kind, 0))
+        self._apply(kind, items, self._reactor.seconds())
+        self._on_change()
+
+    def _apply(self, kind: str, items: Iterable[feed_messages.FeedObject], now: float) -> None:
+        for item in items:
+            if kind == names.CONFIG_KIND:
+                self._apply_config(item)
+            elif kind == names.SERVERS_KIND:
+                self._apply_server(item, now)
+            elif kind == orders.STORE_KIND:
+                self._apply_orders(item)
+            else:
+                self._apply_evacuation(item)
+        if kind == names.EVACUATIONS_KIND:
+            self._catalog.set_evacuated(frozenset(self._evacuated))
+
+    def _apply_config(self, item: feed_messages.FeedObject) -> None:
+        if item.name != names.CONFIG_NAME or item.value is None:
+            return
+        config = _decode_or_warn(
+            f"{names.CONFIG_KIND}/{item.name}",
+            item.value,
+            platform_objects.decode_config,
+            platform_objects.MalformedObjectError,
+        )
+        if config is not None and self._catalog.replace_config_if_newer(config):
+            logs.event(
+                "config-in-force",
+                version=f"{config.version:08x}",
+                revision=item.version,
+                routes=len(config.routes),
+            )
+
+    def _apply_orders(self, item: feed_messages.FeedObject) -> None:
+        if item.name != orders.STORE_NAME or item.value is None:
+            return
+        # Imported here, as the decoder costs memory, and most instances never get an order.
+        from carobhook.protocol import order_codec
+
+        order_state = _decode_or_warn(
+            f"{orders.STORE_KIND}/{item.name}",
+            item.value,
+            order_codec.decode,
+            order_codec.MalformedOrdersError,
+        )
+        if order_state is not None and self._orders.replace_if_newer(order_state):
+            logs.event("orders-in-force", version=order_state.version, revision=item.version)
+
+    def _apply_server(self, item: feed_messages.FeedObject, now: float) -> None:
+        name = ids.Server(item.name)
+        if item.value is None:
+            logs.event("server-removed", server=name, revision=item.version)
+            self._catalog.remove(name, now)
+            return
+        entry = _decode_or_warn(
+            f"{names.SERVERS_KIND}/{item.name}",
+            item.value,
+            platform_objects.decode_server,
+            platform_objects.MalformedObjectError,
+        )
+        if entry is None:
+            self._catalog.remove(name, now)
+            return
+        logs.event(
+            "server-seen",
+            server=name,
+            service=entry.service,
+            zone=entry.failure_domain,
+            state=entry.state,
+            cold_s=entry.cold_s,
+            revision=item.version,
+        )
+        self._catalog.put(entry, now)
+
+    def _apply_evacuation(self, item: feed_messages.FeedObject) -> None:
+        zone = ids.FailureDomain(item.name)
+        logs.event("evacuation", zone=zone, begun=item.value is not None, revision=item.version)
+        if item.value is None:
+            self._evacuated.discard(zone)
+        else:
+            self._evacuated.add(zone)
+
+
+def _decode_or_warn(
+    name: str,
+    value: bytes,
+    decode: Callable[[typing.Any], _T],
+    malformed: type[Exception],
+) -> _T | None:
+    """Return an object's decoded value, or None for a malformed one, which logs a warning.
+
+    Args:
+        name: Kind and name of the object.
+        value: Value of the object in JSON.
+        decode: Decodes the value that the JSON parser returns.
+        malformed: Exception that ``decode`` raises for a malformed value.
+    """
+    try:
+        return decode(json.loads(value))
+    except malformed as error:
+        logs.warning("object-malformed", object=name, error=error)
+        return None
+
+
+def _select_changed(
+    kind: str,
+    current: dict[str, feed_messages.FeedObject],
+    previous: dict[str, feed_messages.FeedObject],
+) -> list[feed_messages.FeedObject]:
+    """Return the objects of a snapshot that are new or changed.
+
+    For evacuations these are all, as the set of evacuated failure domains was cleared.
+
+    Args:
+        kind: Kind of the objects.
+        current: Objects of the snapshot by name.
+        previous: Objects before the snapshot by name.
+    """
+    if kind == names.EVACUATIONS_KIND:
+        return list(current.values())
+    return [item for item in current.values() if item != previous.get(item.name)]
+
+
+def _feed_object(item: objects.StoredObject | objects.WatchEvent) -> feed_messages.FeedObject:
+    value = None
+    if item.value is not None:
+        value = json.dumps(item.value, separators=(",", ":")).encode()
+    return feed_messages.FeedObject(item.name, item.version, value)
+
+
+def _log_failure(reason: typing.Any) -> None:
+    logs.error("unhandled-error", text=reason.getErrorMessage(), trace=reason.getTraceback())
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -269,7 +269,7 @@
         """Without a server, the client gets a 503, which promises not-run, and Retry-After."""
         for name in self.backends:
             self.store.remove("servers", name)
-        await self.wait_until(lambda: not self.daemons[0]._known.servers(reactor.seconds()))
+        await self.wait_until(lambda: not self.daemons[0]._catalog.servers(reactor.seconds()))
         started_at = reactor.seconds()
         response = await self.request()
         assert response.status == 503
@@ -350,7 +350,7 @@
     async def test_route_timeout_gets_504(self):
         """At the route's timeout the client gets a 504, and the server cancels the request."""
         self.store.put("config", "main", config(2, route(Timeout="300ms")))
-        await self.wait_until(lambda: self.daemons[0]._known.config.version == 2)
+        await self.wait_until(lambda: self.daemons[0]._catalog.config.version == 2)
         self.set_behaviour(work_s=5.0)
         started_at = reactor.seconds()
         response = await self.request()
@@ -412,7 +412,7 @@
         """A server in the draining state gets no new requests."""
         self.register("i-0", state="draining")
         await self.wait_until(
-            lambda: len(self.daemons[0]._known.servers(reactor.seconds())) == 1
+            lambda: len(self.daemons[0]._catalog.servers(reactor.seconds())) == 1
         )
         for _ in range(4):
             await self.request()
@@ -425,7 +425,7 @@
         self.store.put("servers", "odd-state", {"Address": "1:1"}, {"State": "dancing"})
         await task.deferLater(reactor, 0.5, lambda: None)
         assert (await self.request()).status == 200
-        assert len(self.daemons[0]._known.servers(reactor.seconds())) == 2
+        assert len(self.daemons[0]._catalog.servers(reactor.seconds())) == 2
 
     async def test_requests_succeed_while_the_store_fails(self):
         """The last known state stays in use, and the rate of calls to the store stays low."""
@@ -437,18 +437,18 @@
         assert len(self.store.calls) - before < 40
         self.store.mode.refuse_status = 0
         self.store.put("config", "main", config(9, route()))
-        await self.wait_until(lambda: self.daemons[0]._known.config.version == 9)
+        await self.wait_until(lambda: self.daemons[0]._catalog.config.version == 9)
 
     async def test_evacuated_zone_gets_no_requests(self):
         """The servers of an evacuated zone are not used until the evacuation is removed."""
         self.register("i-0", zone="north-b")
         self.store.put("evacuations", "north-b", {})
         await self.wait_until(
-            lambda: len(self.daemons[0]._known.servers(reactor.seconds())) == 1
+            lambda: len(self.daemons[0]._catalog.servers(reactor.seconds())) == 1
         )
         self.store.remove("evacuations", "north-b")
         await self.wait_until(
-            lambda: len(self.daemons[0]._known.servers(reactor.seconds())) == 2
+            lambda: len(self.daemons[0]._catalog.servers(reactor.seconds())) == 2
         )
 
 
@@ -492,10 +492,10 @@
         """The watching instance forwards the changes in the store to the other one."""
         await self.join()
         await self.wait_until(
-            lambda: sorted(d._follow.direct for d in self.daemons) == [False, True]
+            lambda: sorted(d._store_sync.is_direct for d in self.daemons) == [False, True]
         )
         self.store.put("config", "main", config(5, route()))
-        await self.wait_until(lambda: all(d._known.config.version == 5 for d in self.daemons))
+        await self.wait_until(lambda: all(d._catalog.config.version == 5 for d in self.daemons))
 
     async def test_leaving_instance_is_not_in_the_directory(self):
         """The directory of the other omits it at once, and its running requests complete."""
@@ -585,7 +585,7 @@
         text = "drain server i-0 emergency cap 100% per 1s"
         status, response = await self.order(text)
         assert (status, response["code"], response["version"]) == (200, 2001, 1)
-        known = self.daemons[0]._known
+        known = self.daemons[0]._catalog
         await self.wait_until(lambda: not known.is_usable("i-0"))
         await self.wait_until(lambda: self.daemons[0]._orders.in_force.version == 1)
         found = await self.progress(1)
