--- a/src/carobhook/coordination/operator_queries.py
+++ b/src/carobhook/coordination/operator_queries.py
@@ -21,7 +21,7 @@
     Attributes:
         code: Result code.
         text: One sentence, empty for the text of the code.
-        version: Version of the orders that the order made or that the answer describes.
+        version: Version of the orders in force after an order, or that a query is about.
         columns: Names of the table's columns.
         rows: Rows of the table.
     """
@@ -35,10 +35,10 @@
 
 @attrs.frozen
 class InstanceView:
-    """State of an instance that queries are answered from.
+    """State of one instance, from which queries are answered.
 
     Attributes:
-        orders: Orders in force here, and the share of each that has been applied.
+        orders: Orders in force, and the share of each that this instance has applied.
         config: Configuration in force, None before the first.
         servers: Servers that may be used.
         live_members: Live instances, from which a message came recently.
@@ -103,7 +103,7 @@
 def instances_without(
     version: ids.Version, live_members: Sequence[members.Member]
 ) -> list[ids.InstanceId]:
-    """Return the names of the instances in which a version is not in force yet."""
+    """Return the names of the instances whose orders in force are older than a version."""
     return [member.name for member in live_members if member.orders_version < version]
 
 
@@ -117,6 +117,7 @@
         if (shift.service, shift.source) != (query.service, query.region):
             continue
         share = view.orders.applied_share(shift.order)
+        # The first row is for requests of all ranks, so shifts of a single rank do not count.
         moved += share if shift.priority is None else 0.0
         rank = "all" if shift.priority is None else shift.priority
         why = f"shift {shift.order}"
@@ -138,7 +139,7 @@
     columns = ("service", "slots", "usable", "running", "waiting", "demand", "binds")
     rows = [
         (load.service, load.slots, load.usable, load.running, load.waiting,
-         _number(load.demand), _limiting_factor(load))
+         _decimal(load.demand), _limiting_factor(load))
         for load in view.loads
         if load.region == query.region
     ]  # fmt: skip
@@ -153,7 +154,7 @@
 
 
 def _limiting_factor(load: slot_messages.ShardLoad) -> str:
-    """Return the text on what limits the throughput of a shard, empty if nothing does."""
+    """Return what limits the throughput of a shard, in words; empty if nothing does."""
     if load.usable <= 0:
         return "no slots"
     if load.running >= load.usable:
@@ -166,9 +167,9 @@
 def dry_run(
     command: statements.Command, view: InstanceView, context: order_commands.OrderContext
 ) -> Answer:
-    """Return the slots and demand to expect once a command has taken full effect.
+    """Return the slots and demand to expect if a command is given and takes full effect.
 
-    The command itself is not carried out.
+    The command is only checked, and the orders in force stay as they are.
 
     Args:
         command: The command.
@@ -193,7 +194,12 @@
         for load in sorted(service_loads, key=lambda load: load.region):
             region = load.region
             use = _percent(demand[region] / slots[region]) if slots[region] else "none"
-            cells = (load.slots, _number(load.demand), slots[region], _number(demand[region]))
+            cells = (
+                load.slots,
+                _decimal(load.demand),
+                slots[region],
+                _decimal(demand[region]),
+            )
             rows.append((service, region, *cells, use))
         if sum(demand.values()) > sum(slots.values()):
             overloaded.append(service)
@@ -209,9 +215,9 @@
 
 
 def _drained_names(current: orders.OrderState, wall_time: float) -> set[str]:
-    """Return the names of the drained regions, failure domains and servers.
+    """Return the names of the regions, failure domains and servers that open drains name.
 
-    Those whose drain has yet to begin are included.
+    Drains that have yet to begin count too.
     """
     return {drain.name for drain in current.drains if order_commands.is_open(drain, wall_time)}
 
@@ -235,14 +241,14 @@
     wall_time: float,
 ) -> dict[ids.Region, float]:
     """Return the demand for a service by region once all its shifts have taken full effect."""
-    now = {load.region: load.demand or 0.0 for load in loads}
-    projected = dict(now)
+    reported = {load.region: load.demand or 0.0 for load in loads}
+    projected = dict(reported)
     for shift in current.shifts:
         is_counted = shift.service == service and order_commands.is_open(shift, wall_time)
-        if is_counted and shift.source in now:
-            projected[shift.source] -= shift.share * now[shift.source]
+        if is_counted and shift.source in reported:
+            projected[shift.source] -= shift.share * reported[shift.source]
             projected[shift.target] = (
-                projected.get(shift.target, 0.0) + shift.share * now[shift.source]
+                projected.get(shift.target, 0.0) + shift.share * reported[shift.source]
             )
     return projected
 
@@ -250,9 +256,9 @@
 def _duration_text(
     command: statements.Command, after: orders.OrderState, context: order_commands.OrderContext
 ) -> str:
-    """Return the text on how long the order of a context takes to have full effect.
+    """Return how long a command takes to have full effect, in words.
 
-    A command that moves nothing, such as a cap, is in force within seconds.
+    A command that moves nothing, such as one that sets a cap, is in force within seconds.
     """
     order_moves = [move for move in after.moves if move.order == context.order]
     if not order_moves:
@@ -309,7 +315,7 @@
     ordered = sorted(view.loads, key=lambda load: (load.service, load.region))
     return columns, [
         (load.service, load.region, load.slots, load.usable, load.running, load.waiting,
-         _number(load.demand), " ".join(f"{to}:{count}" for to, count in load.lent if count),
+         _decimal(load.demand), " ".join(f"{to}:{count}" for to, count in load.lent if count),
          load.withheld)
         for load in ordered
     ]  # fmt: skip
@@ -378,7 +384,7 @@
     return f"{share * 100:.3g}%"
 
 
-def _number(value: float | None) -> str:
+def _decimal(value: float | None) -> str:
     return "" if value is None else f"{value:.1f}"
 
 
--- a/src/carobhook/coordination/order_commands.py
+++ b/src/carobhook/coordination/order_commands.py
@@ -10,19 +10,20 @@
 from carobhook.state import codes, ids, orders, statements
 
 _DAY_S = 24 * 3600
-_MAX_CHANGES = 200
-# Time for which an order is kept after all that it moved should have returned. An instance
-# whose wall clock jumped returns traffic later than the others. If the order were removed
-# before that instance is done, the rest of its traffic would return at once, beyond the cap.
+# Changes that the audit trail keeps; without a limit, the stored orders would grow forever.
+_MAX_AUDIT_CHANGES = 200
+# Seconds that an ended order is kept after the last step of its return. An instance whose wall
+# clock jumped returns traffic later than the others. If the order were removed before that
+# instance is done, the rest of its traffic would return at once, beyond the cap.
 _RETENTION_AFTER_RETURN_S = 60.0
 
-_M = typing.TypeVar("_M", orders.Shift, orders.Drain)
+_MoveT = typing.TypeVar("_MoveT", orders.Shift, orders.Drain)
 
 
 class OrderError(Exception):
-    """An order was not accepted, or it is not known yet whether it was.
+    """An order was refused, or it is not known yet whether it was accepted.
 
-    This is an answer to the operator and does not mean that the program has a fault.
+    The error is reported to the operator; it does not mean that the program has a fault.
 
     Attributes:
         code: Result code that gives the reason.
@@ -74,7 +75,9 @@
 def apply(
     command: statements.Command, current: orders.OrderState, context: OrderContext
 ) -> orders.OrderState:
-    """Return the orders in force after a command, with the command added to their changes.
+    """Return the orders in force after a command, which is recorded in their audit trail.
+
+    Ended orders whose retention time has passed are removed.
 
     Args:
         command: The command.
@@ -98,7 +101,7 @@
         drains=tuple(
             d for d in changed.drains if not _is_removable(d, changed, context.wall_time)
         ),
-        changes=(*changed.changes, change)[-_MAX_CHANGES:],
+        changes=(*changed.changes, change)[-_MAX_AUDIT_CHANGES:],
     )
 
 
@@ -113,9 +116,9 @@
 
 
 def _is_removable(order: orders.Move, current: orders.OrderState, wall_time: float) -> bool:
-    """Return whether an ended order can be removed from the orders in force.
+    """Return whether an order has ended and its retention time has passed.
 
-    It can once the retention time has passed since all that it moved should have returned.
+    The retention time begins when the schedule has returned all that the order moved.
     """
     goal = order.share if isinstance(order, orders.Shift) else 1.0
     ends_at, cutoff = order.span.ends_at, wall_time - _RETENTION_AFTER_RETURN_S
@@ -149,6 +152,7 @@
         and s.span.ends_at is None
         and (s.priority is None or command.priority in (None, s.priority))
     )
+    # The tolerance keeps rounding errors from refusing shifts that add up to exactly 100%.
     if moved + command.share > 1.0 + 1e-9:
         text = f"{moved:.0%} of {command.service} of {command.source} are moved already"
         raise OrderError(codes.Code.ORDER_INVALID, text)
@@ -181,7 +185,7 @@
         orders.Span(begins_at, ends_at),
         _validated_cap(command.cap_override, current.cap),
     )
-    _require_domain_left(drain, current, context)
+    _require_undrained_domain(drain, current, context)
     return attrs.evolve(current, drains=(*current.drains, drain))
 
 
@@ -246,10 +250,11 @@
     )
 
 
-def _end_now(order: _M, context: OrderContext) -> _M:
-    """Return an order that ends now.
+def _end_now(order: _MoveT, context: OrderContext) -> _MoveT:
+    """Return a copy of an order that ends now.
 
-    An order that has not begun yet gets an end before its begin, so it never takes effect.
+    An order that has not begun yet gets an end before its start. If both were the same time,
+    the schedule would still take the first step.
     """
     now = context.wall_time
     if order.span.begins_at > now:
@@ -260,11 +265,11 @@
 def _validated_cap(
     override: statements.CapOverride | None, general: orders.Cap
 ) -> orders.Cap | None:
-    """Return the cap that an order sets for itself, None for the general one.
+    """Return the cap that an order sets for itself, or None if the general one applies to it.
 
     Raises:
-        OrderError: The cap is zero, or it is wider than the general one without being an
-            emergency cap.
+        OrderError: The cap is zero, or it is wider than the general one (a larger share in a
+            window, or in a second) and not an emergency cap.
     """
     if override is None:
         return None
@@ -281,15 +286,15 @@
     return override.cap
 
 
-def _require_known(name: str, known: Collection[str], what: str) -> None:
-    """Check that a name is known.
+def _require_known(name: str, known: Collection[str], kind: str) -> None:
+    """Check that a name is among the known ones.
 
     Raises:
-        OrderError: It is not; the text lists up to 20 names that are.
+        OrderError: The name is unknown; the text lists up to 20 known names.
     """
     if name not in known:
         listed = ", ".join(sorted(known)[:20]) or "none"
-        text = f"{name!r} is no {what}; there are: {listed}"
+        text = f"{name!r} is no {kind}; there are: {listed}"
         raise OrderError(codes.Code.ORDER_INVALID, text)
 
 
@@ -302,13 +307,13 @@
     _require_known(name, names, kind.value)
 
 
-def _require_domain_left(
+def _require_undrained_domain(
     drain: orders.Drain, current: orders.OrderState, context: OrderContext
 ) -> None:
-    """Check that some failure domain can still serve once a drain has taken effect.
+    """Check that a new drain leaves at least one failure domain undrained.
 
     Raises:
-        OrderError: No failure domain would be left.
+        OrderError: Every failure domain would be drained.
     """
     drains = (*(d for d in current.drains if is_open(d, context.wall_time)), drain)
     drained = {d.name for d in drains if d.kind is not orders.DrainKind.SERVER}
@@ -320,7 +325,10 @@
 
 
 def _next_occurrence(second_of_day: int | None, after: float) -> float:
-    """Return the next occurrence of a time of day in UTC, or `after` if no time is given."""
+    """Return the first time from `after` on at which it is a given time of day in UTC.
+
+    Without a time of day, this is `after` itself.
+    """
     if second_of_day is None:
         return after
     midnight = after - after % _DAY_S
--- a/src/carobhook/coordination/order_rollout.py
+++ b/src/carobhook/coordination/order_rollout.py
@@ -1,7 +1,8 @@
 """Computes how much of an order has taken effect at a given time, within its cap.
 
-Load pattern: an operator moves a large part of a service at once, to servers with cold caches.
-The cap bounds each step, and a whole window passes between two steps.
+Load pattern: an operator moves a large part of a service's traffic with one order, to servers
+with cold caches. So the order takes effect in steps: the cap limits the size of each step, and
+a whole window passes between two steps.
 """
 
 import collections
@@ -13,11 +14,15 @@
 
 # Traffic returns at this fraction of the rate at which the order moved it away.
 _RETURN_RATE_FACTOR = 0.5
-_ROUNDING = 1e-9
+# Without this tolerance, ceil would count one step too many: 0.07 / 0.01 is just above 7.
+_ROUNDING_TOLERANCE = 1e-9
 
 
 def scheduled_share(goal: float, span: orders.Span, cap: orders.Cap, wall_time: float) -> float:
-    """Return the share that an order should have moved by a given time.
+    """Return the share that an order should keep moved at a given time.
+
+    The share grows in steps from the start of the order. After its end, the share that it
+    had reached returns in smaller steps.
 
     Args:
         goal: Share that the order moves once it has taken full effect.
@@ -44,7 +49,7 @@
         goal: Share that the order moves once it has taken full effect.
         cap: Largest share that may move within a window.
     """
-    return max(0.0, math.ceil(goal / cap.share - _ROUNDING) - 1) * cap.window_s
+    return max(0.0, math.ceil(goal / cap.share - _ROUNDING_TOLERANCE) - 1) * cap.window_s
 
 
 def _stepped_share(goal: float, step: float, window_s: float, elapsed_s: float) -> float:
@@ -56,7 +61,7 @@
 
 @attrs.define
 class MoveLimiter:
-    """Limits what one instance moves within a window, measured by its monotonic clock.
+    """Limits the share that one instance moves within a window of its monotonic clock.
 
     Orders are scheduled by the wall clock, which may jump. Without this limit, a jump would let
     an instance move more than the cap within a window.
@@ -67,7 +72,9 @@
     )
 
     def allowance(self, cap: orders.Cap, now: float) -> float:
-        """Return the share that the cap still allows to move in the current window.
+        """Return the share that may still move within the window that ends now.
+
+        Moves from before this window are forgotten.
 
         Args:
             cap: Largest share that may move within a window.
--- a/src/carobhook/coordination/order_store.py
+++ b/src/carobhook/coordination/order_store.py
@@ -14,7 +14,7 @@
 
     Args:
         store: The store.
-        pause: Waits for a short time; called before each attempt but the first.
+        pause: Waits for a short time; called before each repeated attempt.
     """
 
     def __init__(
@@ -29,68 +29,78 @@
         context: order_commands.OrderContext,
         base: ids.Version | None,
     ) -> orders.OrderState:
-        """Accept a command, and return the orders in force after it.
+        """Write a command's change to the store, and return the orders in force after it.
 
-        An order whose id the store holds already was accepted before and is not applied again.
+        If the stored orders hold the order's id already, it was accepted before and is not
+        applied again.
 
         Args:
             command: The command.
             context: Author, time and id of the order.
-            base: Version that the operator saw, None to accept any version.
+            base: Version that the operator saw; the order is refused if a newer one is stored.
+                None to apply it to any version.
 
         Raises:
             order_commands.OrderError: The order is refused, or it is not known whether it was
                 accepted.
         """
-        unknown: objects.StoreError | None = None
+        unknown_outcome: objects.StoreError | None = None
         for attempt in range(_MAX_ATTEMPTS):
             if attempt:
                 await self._pause()
             try:
-                current, revision = await self._read()
+                current, object_version = await self._read()
                 if current.change_of(context.order) is not None:
                     return current
                 _require_latest_base(current, base)
                 changed = order_commands.apply(command, current, context)
-                await self._write(changed, revision)
+                await self._write(changed, object_version)
                 return changed
             except objects.ConflictError:
                 # Another write came first. It may be that of this order, if the answer to an
                 # earlier attempt was lost, so read the orders again.
                 continue
-            except objects.OutcomeUnknownError as problem:
-                unknown = problem
-            except objects.StoreError as problem:
-                if unknown is None:
-                    text = f"the store does not take it: {problem}"
+            except objects.OutcomeUnknownError as error:
+                unknown_outcome = error
+            except objects.StoreError as error:
+                # If an earlier attempt may have written the order, try again to find out.
+                if unknown_outcome is None:
+                    text = f"the store does not take it: {error}"
                     raise order_commands.OrderError(
                         codes.Code.ORDER_STORE_DOWN, text
-                    ) from problem
-        if unknown is not None:
-            text = f"ask with the same id again: {unknown}"
-            raise order_commands.OrderError(codes.Code.ORDER_UNKNOWN, text) from unknown
+                    ) from error
+        if unknown_outcome is not None:
+            text = f"ask with the same id again: {unknown_outcome}"
+            raise order_commands.OrderError(codes.Code.ORDER_UNKNOWN, text) from unknown_outcome
         text = f"other orders came first {_MAX_ATTEMPTS} times"
         raise order_commands.OrderError(codes.Code.ORDER_CONFLICT, text)
 
     async def _read(self) -> tuple[orders.OrderState, int | None]:
+        """Return the stored orders and the store's version of the object that holds them.
+
+        The second is None if the object does not exist yet. It is not the version of the
+        orders, which each accepted order raises by one.
+        """
         stored = await self._store.get(orders.STORE_KIND, orders.STORE_NAME)
         if stored is None:
             return orders.OrderState(), None
         return order_codec.decode(stored.value), stored.version
 
-    async def _write(self, changed: orders.OrderState, revision: int | None) -> None:
-        plain = order_codec.encode(changed)
-        if revision is None:
-            await self._store.create(orders.STORE_KIND, orders.STORE_NAME, plain)
+    async def _write(self, changed: orders.OrderState, object_version: int | None) -> None:
+        encoded = order_codec.encode(changed)
+        if object_version is None:
+            await self._store.create(orders.STORE_KIND, orders.STORE_NAME, encoded)
         else:
-            await self._store.update(orders.STORE_KIND, orders.STORE_NAME, plain, revision)
+            await self._store.update(
+                orders.STORE_KIND, orders.STORE_NAME, encoded, object_version
+            )
 
 
 def _require_latest_base(current: orders.OrderState, base: ids.Version | None) -> None:
-    """Check that an operator saw the latest version.
+    """Check that the stored orders are not newer than the version that an operator saw.
 
     Raises:
-        order_commands.OrderError: Another order came first.
+        order_commands.OrderError: Another order was accepted in between.
     """
     if base is None or base >= current.version:
         return
--- a/src/carobhook/coordination/refusals.py
+++ b/src/carobhook/coordination/refusals.py
@@ -1,4 +1,4 @@
-"""Answers that an instance gives to a client itself, without a server's answer."""
+"""Responses that an instance sends to a client itself, in place of a server's response."""
 
 import attrs
 
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class Refusal:
-    """An answer that this instance gives in place of a server's.
+    """A response that this instance sends in place of a server's.
 
     Attributes:
         code: Result code that gives the reason.
@@ -28,10 +28,10 @@
 
     @property
     def status(self) -> int:
-        """Return the HTTP status.
+        """Return the HTTP status: that of the code, unless it would mislead the client.
 
-        A status that says that the request was not run is returned only if that is certain. If
-        the request was not run but the status of its code leaves that open, 503 is returned.
+        If a server may have run the request, 502 replaces a status that says that it was not
+        run. If the code says that it was not run, 503 replaces a status that leaves this open.
         """
         status = self.code.value.http_status
         if self.may_have_run:
--- a/src/carobhook/coordination/request_routing.py
+++ b/src/carobhook/coordination/request_routing.py
@@ -6,14 +6,16 @@
 from carobhook.protocol import client_api
 from carobhook.state import codes, ids, routing
 
-# Assumed for a client that does not state its remaining time; the route's timeout also applies.
+# Time left that is assumed for a client that states none. The timeout of a matching route also
+# applies.
 _DEFAULT_TIME_LEFT_S = 30.0
-# Subtracted from the client's remaining time: an answer sent only at the client's deadline
+# Subtracted from the client's time left: a response that is sent only at the client's deadline
 # would arrive after it.
 _CLIENT_MARGIN_S = 0.03
-# For requests that name a service instead of matching a route: the fraction of the remaining
-# time until the target, and the maximum number of servers that such a request is sent to.
+# The next two are for requests that name a service, as they have no route to take them from.
+# Latency target, as a fraction of the client's time left.
 _CALL_TARGET_FRACTION = 0.5
+# Maximum number of servers that such a request is sent to.
 _CALL_MAX_ATTEMPTS = 2
 
 
@@ -27,8 +29,8 @@
         region: Region whose dispatcher is asked for a slot.
         fallback: Region to ask if the first refuses, None for none.
         priority: Rank of the request; 0 is the most urgent.
-        target_at: Monotonic time in seconds until which an answer has its full value.
-        deadline_at: Monotonic time in seconds at which the final answer is due.
+        target_at: Monotonic time in seconds after which a response is late and worth less.
+        deadline_at: Monotonic time in seconds by which the client must get its final response.
     """
 
     route: routing.Route
@@ -44,9 +46,11 @@
 class RequestRouter:
     """Routes requests by the configuration and operators' orders.
 
-    Load pattern: a client that was refused sends its request again, with less time left. The
-    longest time left that was seen on a route is taken for that of a first attempt. A request
-    with less time left has waited for the difference already, so its target is earlier by that.
+    Load pattern: a client that was refused sends its request again, with less time left. If the
+    latency target started anew with each attempt, a response would count as timely although the
+    client has waited for longer. So the router takes the longest time left that it has seen on
+    a route for the time that a client has at its first attempt. A request with less time left
+    has waited for the difference, and its target is earlier by as much.
 
     Attributes:
         region: Region of this instance.
@@ -66,7 +70,7 @@
         host: str,
         path: str,
         time_left_s: float | None,
-        began_at: float,
+        received_at: float,
     ) -> RoutingDecision | refusals.Refusal:
         """Return where a request is sent, or the reason to refuse it.
 
@@ -74,8 +78,8 @@
             config: Configuration in force, None before the first.
             host: Value of the request's Host header.
             path: Path of the request without the query.
-            time_left_s: Seconds that the client still waits, None if it does not say.
-            began_at: Monotonic time in seconds at which the request arrived.
+            time_left_s: Seconds that the client will still wait, None if it states none.
+            received_at: Monotonic time in seconds at which the request was received.
         """
         if config is None:
             return refusals.Refusal(codes.Code.NO_CONFIG, retry_after_s=0.5)
@@ -86,24 +90,24 @@
         longest_s = max(self._longest_time_left_s.get(route.name, 0.0), left_s)
         self._longest_time_left_s[route.name] = longest_s
         waited_s = longest_s - left_s if time_left_s is not None else 0.0
-        deadline_at = began_at + min(route.timeout_s, left_s - _CLIENT_MARGIN_S)
+        deadline_at = received_at + min(route.timeout_s, left_s - _CLIENT_MARGIN_S)
         service = self.choose_service(route)
         priority = self.orders.route_priority(route.name, route.priority)
-        target_at = began_at + route.target_s - waited_s
+        target_at = received_at + route.target_s - waited_s
         return self._apply_orders(route, service, priority, target_at, deadline_at)
 
     def route_call(
         self,
         config: routing.RoutingConfig | None,
         call: client_api.ServiceCall,
-        began_at: float,
+        received_at: float,
     ) -> RoutingDecision | refusals.Refusal:
         """Return where a request that names its service is sent, or the reason to refuse it.
 
         Args:
             config: Configuration in force, None before the first.
             call: The request.
-            began_at: Monotonic time in seconds at which the request arrived.
+            received_at: Monotonic time in seconds at which the request was received.
         """
         if config is None:
             return refusals.Refusal(codes.Code.NO_CONFIG, retry_after_s=0.5)
@@ -123,20 +127,21 @@
             max_attempts=_CALL_MAX_ATTEMPTS,
             object_affinity=False,
         )
-        target_at = began_at + route.target_s
-        deadline_at = began_at + left_s - _CLIENT_MARGIN_S
+        target_at = received_at + route.target_s
+        deadline_at = received_at + left_s - _CLIENT_MARGIN_S
         return self._apply_orders(route, call.service, call.priority, target_at, deadline_at)
 
     def choose_service(self, route: routing.Route) -> ids.Service:
-        """Return the service for a route's next request, by the weights of the route.
+        """Return the service for a route's next request.
 
-        The choice is smooth: each service gets its share within a few requests.
+        The choices rotate smoothly, so even a few consecutive requests follow the weights of
+        the route.
         """
         if len(route.weighted_services) == 1:
             return route.weighted_services[0].service
         weights: dict[ids.Service, float] = {}
-        for share in route.weighted_services:
-            weights[share.service] = weights.get(share.service, 0.0) + share.weight
+        for weighted in route.weighted_services:
+            weights[weighted.service] = weights.get(weighted.service, 0.0) + weighted.weight
         return self._service_choice.choose(route.name, weights)
 
     def _apply_orders(
@@ -147,7 +152,7 @@
         target_at: float,
         deadline_at: float,
     ) -> RoutingDecision:
-        """Return where a request is sent, in the region that operators' shifts select."""
+        """Return where a request is sent, after operators' shifts have chosen the region."""
         home = self._home_region(route)
         region = self.orders.choose_region(service, home, priority, route.homes)
         fallback = home if region != home else None
@@ -156,7 +161,10 @@
         )
 
     def _home_region(self, route: routing.Route) -> ids.Region:
-        """Return this instance's region, or the first home region if it may not serve."""
+        """Return this instance's region, or a home region if this one may not run the requests.
+
+        The home region is the first by name, so all instances choose the same.
+        """
         if not route.homes or self.region in route.homes:
             return self.region
         return min(route.homes)
--- a/src/carobhook/coordination/steering.py
+++ b/src/carobhook/coordination/steering.py
@@ -24,7 +24,7 @@
     _move_limiters: dict[tuple[ids.Region, ids.Service], order_rollout.MoveLimiter] = (
         attrs.field(factory=dict, init=False)
     )
-    _started: bool = attrs.field(default=False, init=False)
+    _has_advanced: bool = attrs.field(default=False, init=False)
     _region_choice: smooth_round_robin.SmoothRoundRobin[ids.Region] = attrs.field(
         factory=smooth_round_robin.SmoothRoundRobin, init=False
     )
@@ -35,14 +35,14 @@
         return self._in_force
 
     def replace_if_newer(self, candidate: orders.OrderState) -> bool:
-        """Replace the orders in force if the candidate is newer; return whether it is."""
+        """Replace the orders in force by a newer version; return whether they were replaced."""
         if candidate.version <= self._in_force.version:
             return False
         self._in_force = candidate
         return True
 
     def applied_share(self, order: ids.OrderId) -> float:
-        """Return the share of traffic or slots that an order has moved on this instance."""
+        """Return the share of requests or slots that an order has moved on this instance."""
         return self._applied_shares.get(order, 0.0)
 
     def advance(self, services: Collection[ids.Service], now: float, wall_time: float) -> bool:
@@ -60,9 +60,10 @@
             if share > 0:
                 after[order.order] = share
         self._applied_shares = after
-        # The first call applies the scheduled shares in full: an instance that starts while an
-        # order is partly applied begins at the share that the other instances have reached.
-        self._started = True
+        # Until this is set, `_next_share` applies the scheduled shares without the limit. If an
+        # instance that starts while an order is partly applied began at zero, it would send
+        # traffic back that the other instances have moved away already.
+        self._has_advanced = True
         return after != before
 
     def _next_share(
@@ -72,12 +73,12 @@
         now: float,
         wall_time: float,
     ) -> float:
-        """Return the share of an order to apply now, and record the move with its limiters."""
+        """Return the share of an order to apply now, and record the step with its limiters."""
         cap = self._in_force.cap_of(order)
         goal = order.share if isinstance(order, orders.Shift) else 1.0
         scheduled = order_rollout.scheduled_share(goal, order.span, cap, wall_time)
         applied = self._applied_shares.get(order.order, 0.0)
-        if not self._started or scheduled == applied:
+        if not self._has_advanced or scheduled == applied:
             return scheduled
         limiters = [self._move_limiter(key) for key in self._limiter_keys(order, services)]
         allowance = min((limiter.allowance(cap, now) for limiter in limiters), default=1.0)
@@ -92,10 +93,11 @@
     def _limiter_keys(
         self, order: orders.Move, services: Collection[ids.Service]
     ) -> list[tuple[ids.Region, ids.Service]]:
-        """Return the regions and services whose moves an order counts towards.
+        """Return the keys of the limiters that an order's moves are recorded with.
 
-        The drain of a single server counts towards none, as it moves only a small part of the
-        traffic of a service.
+        A shift uses the limiter of its source region and service. A drain of a region or
+        failure domain uses one limiter for each service in the region. The drain of a single
+        server uses none, as it moves only a small part of the traffic of a service.
         """
         if isinstance(order, orders.Shift):
             return [(order.source, order.service)]
@@ -103,6 +105,7 @@
             return []
         region = ids.Region(order.name)
         if order.kind is orders.DrainKind.FAILURE_DOMAIN:
+            # A failure domain whose region is unknown gets limiters under its own name.
             region = self.regions.get(ids.FailureDomain(order.name), region)
         return [(region, service) for service in services]
 
@@ -121,7 +124,9 @@
         region: ids.Region,
         views: Sequence[catalog.ServerView],
     ) -> dict[ids.Server, int]:
-        """Return the number of slots of each server that drains keep from use.
+        """Return, by server, the number of slots that drains withhold from use.
+
+        Servers that no drain includes are left out.
 
         Args:
             service: Service of the servers.
@@ -164,13 +169,14 @@
         priority: int,
         homes: frozenset[ids.Region],
     ) -> ids.Region:
-        """Return the region to ask for the next request, by the shares of the shifts.
+        """Return the region whose dispatcher is asked for a slot for the next request.
 
-        The choice is smooth: each region gets its share within a few requests.
+        Shifts move their shares of the requests from the source to their target regions. The
+        choices rotate smoothly, so even a few consecutive requests follow these shares.
 
         Args:
             service: Service of the request.
-            source: Region that serves the request if no shift applies to it.
+            source: Region that is chosen if no shift moves the request.
             priority: Rank of the request.
             homes: Regions that may serve the request; empty for all.
         """
@@ -187,7 +193,7 @@
         priority: int,
         homes: frozenset[ids.Region],
     ) -> dict[ids.Region, float]:
-        """Return the shares of matching requests that shifts move, by target region."""
+        """Return, by target region, the share of such requests that shifts move there."""
         shares: dict[ids.Region, float] = {}
         for shift in self._in_force.shifts:
             if shift.service != service or shift.source != source:
@@ -206,14 +212,15 @@
     share: float,
     salt: str,
 ) -> None:
-    """Add the slots that a drain withholds to those withheld already.
+    """Add the slots that a drain withholds to those that earlier drains withhold.
 
-    Servers are emptied one after the other, in an order that depends only on the salt and their
-    names, so a larger share withholds the same slots and more.
+    Servers lose their slots one server after the other. The sequence depends only on the salt
+    and the names of the servers, so a larger share withholds the same slots and more.
     """
     ordered = sorted(
         entries, key=lambda entry: xxhash.xxh64_intdigest(f"{salt}\0{entry.name}".encode())
     )
+    # Without the tolerance, floor would withhold one slot too few: 0.29 * 100 is below 29.
     remaining = math.floor(share * sum(entry.slots for entry in ordered) + 1e-9)
     for entry in ordered:
         count = min(remaining, entry.slots - slots_by_server.get(entry.name, 0))
--- a/tests/test_intake.py
+++ b/tests/test_intake.py
@@ -1,4 +1,4 @@
-"""Tests of carobhook.coordination.request_routing and refusals."""
+"""Tests of carobhook.coordination.request_routing and refusals: where requests are sent."""
 
 import collections
 
@@ -24,12 +24,12 @@
 
 
 def config(*routes):
-    """Return a configuration."""
+    """Return a configuration of some routes."""
     return routing.RoutingConfig(1, routes, {})
 
 
 def make_router(region=NORTH):
-    """Return a router of requests without orders of operators."""
+    """Return a router without operators' orders."""
     return request_routing.RequestRouter(region, steering.Steering({}))
 
 
@@ -48,8 +48,8 @@
         router = make_router()
         unknown = router.route_request(config(ROUTE), "shop.example", "/b/", 1.0, 0.0)
         assert (unknown.code, unknown.status) == (codes.Code.NO_ROUTE, 404)
-        early = router.route_request(None, "shop.example", "/a/", 1.0, 0.0)
-        assert (early.code, early.status) == (codes.Code.NO_CONFIG, 503)
+        unconfigured = router.route_request(None, "shop.example", "/a/", 1.0, 0.0)
+        assert (unconfigured.code, unconfigured.status) == (codes.Code.NO_CONFIG, 503)
 
     def test_timeout_and_time_left_limit_deadline(self):
         """The deadline is the earlier of the route's timeout and the client's deadline."""
@@ -71,7 +71,7 @@
         assert repeated.target_at == 1.0 + 0.5 - (3.0 - 2.4)
 
     def test_home_region_is_chosen(self):
-        """A route that only another region may serve gets that region."""
+        """A request that only another region may run is sent to that region."""
         homed = attrs.evolve(ROUTE, homes=frozenset({SOUTH}))
         decision = make_router().route_request(config(homed), "shop.example", "/a/", 1.0, 0.0)
         assert decision.region == SOUTH
@@ -97,7 +97,7 @@
 
 
 class TestRefusal:
-    """Statuses that say whether a request was run."""
+    """HTTP statuses, which say whether a request was run."""
 
     def test_status_after_send(self):
         """The refusal of a request that may have run never says that it was not run."""
--- a/tests/test_order_commands.py
+++ b/tests/test_order_commands.py
@@ -101,7 +101,7 @@
         assert caught.value.code is codes.Code.ORDER_OVERLOAD
 
     def test_drain_with_end_counts_as_drain(self):
-        """A drain with an end counts until that time when another drain is checked."""
+        """A drain that ends later still counts when another drain is checked."""
         with pytest.raises(order_commands.OrderError) as caught:
             apply_all("drain region south until 23:00", "drain region north")
         assert caught.value.code is codes.Code.ORDER_OVERLOAD
@@ -116,7 +116,7 @@
         assert current.shifts[0].span.ends_at == 1000.0
 
     def test_undrain_before_begin(self):
-        """A drain that is undone before its begin never takes effect, and is removed."""
+        """A drain that is undrained before its start never takes effect, so it is removed."""
         current = apply_all("drain region north at 23:00 until 23:30", "undrain region north")
         assert not apply_all("set cap 5% per 10s", current=current, wall_time=1061.0).drains
 
@@ -151,18 +151,18 @@
         """Create an empty store."""
         self.clock = task.Clock()
         self.access = store_access.create_access(self.clock)
-        self.orders = order_store.OrderStore(self.access, lambda: defer.succeed(None))
+        self.order_store = order_store.OrderStore(self.access, lambda: defer.succeed(None))
 
     def submit(self, text, order="o1", author="selam", base=None):
         """Submit an order; return the orders in force after it, or the failure."""
         command = language.parse(text)
-        submitted = self.orders.submit(command, context(order, author, text=text), base)
+        submitted = self.order_store.submit(command, context(order, author, text=text), base)
         results = []
         defer.ensureDeferred(submitted).addBoth(results.append)
         return results[0]
 
     def test_concurrent_orders_are_both_kept(self):
-        """The order that is written second is applied to the orders that the first left."""
+        """The order that is written second is applied to the result of the first."""
         other = order_store.OrderStore(self.access, lambda: defer.succeed(None))
         concurrent_results = []
 
@@ -179,7 +179,7 @@
         assert current.cap == orders.Cap(0.2, 10.0)
 
     def test_outdated_base_is_refused(self):
-        """An operator who saw an older version gets the latest change as the reason."""
+        """An order based on an older version is refused; the reason names the last change."""
         self.submit("set cap 20% per 10s", "o1", "dawit")
         error = self.submit("set cap 30% per 10s", "o2", base=ids.Version(0)).value
         assert error.code is codes.Code.ORDER_CONFLICT
@@ -192,7 +192,7 @@
         assert (current.version, len(current.shifts)) == (1, 1)
 
     def test_repeated_id_is_applied_once(self):
-        """A client that repeats an order gets the first result."""
+        """A client that sends an order again with the same id gets the first result."""
         first = self.submit("shift svc from north to south by 10%")
         assert self.submit("shift svc from north to south by 10%") == first
 
@@ -205,13 +205,13 @@
         """If the store fails after an answer was lost, the outcome is reported as unknown."""
         self.access.lost_answers = 1
 
-        original = self.access._confirm_write
+        confirm_write = self.access._confirm_write
 
-        def written(version):
+        def confirm_then_fail(version):
             self.access.down = True
-            return original(version)
+            return confirm_write(version)
 
-        self.access._confirm_write = written
+        self.access._confirm_write = confirm_then_fail
         error = self.submit("set cap 20% per 10s").value
         assert error.code is codes.Code.ORDER_UNKNOWN
         assert error.code.run is codes.RunStatus.UNKNOWN
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -46,16 +46,22 @@
     return instance
 
 
-def server_view(name, zone="north-a", slots=4):
+def server_view(name, failure_domain="north-a", slots=4):
     """Return a server that may be used."""
     entry = servers.ServerEntry(
-        ids.Server(name), "svc", zone, f"{name}:1", slots, servers.ServerState.READY, 0.0
+        ids.Server(name),
+        "svc",
+        failure_domain,
+        f"{name}:1",
+        slots,
+        servers.ServerState.READY,
+        0.0,
     )
     return catalog.ServerView(entry, 0.0)
 
 
 class TestScheduledShare:
-    """The share that an order should have moved by a given time."""
+    """The share that an order should keep moved at a given time."""
 
     def test_share_grows_by_cap_each_window(self):
         """The first step is taken at once, and each further one a window later."""
@@ -67,13 +73,13 @@
         assert [round(share, 9) for share in shares] == [0.0, 0.1, 0.1, 0.2, 0.25]
 
     def test_return_at_half_rate(self):
-        """After its end an order returns, in half steps, the share that it had reached."""
+        """After its end, an order returns its share in steps half as large as those before."""
         span = orders.Span(0.0, 15.0)
-        at = [
+        shares = [
             order_rollout.scheduled_share(0.5, span, CAP, wall_time)
             for wall_time in (14, 15, 25, 35, 45)
         ]
-        assert [round(share, 9) for share in at] == [0.2, 0.15, 0.1, 0.05, 0.0]
+        assert [round(share, 9) for share in shares] == [0.2, 0.15, 0.1, 0.05, 0.0]
 
     def test_duration_excludes_first_window(self):
         """The first step is taken at once, so n steps take n - 1 windows."""
@@ -146,8 +152,8 @@
         assert not instance.replace_if_newer(orders.OrderState(ids.Version(0)))
         assert instance.in_force.shifts
 
-    def test_ordered_rank_overrides_configured_one(self):
-        """An order sets the rank of one route; the other routes keep theirs."""
+    def test_order_overrides_configured_rank(self):
+        """An order sets the rank of one route; the other routes keep their configured ranks."""
         instance = steering_with(priorities={"r-buy": 0})
         assert (instance.route_priority("r-buy", 2), instance.route_priority("r-other", 2)) == (
             0,
@@ -156,10 +162,10 @@
 
 
 class TestDrains:
-    """Servers that drains leave without new work."""
+    """Servers whose slots drains withhold."""
 
     def test_slots_are_withheld_in_steps(self):
-        """The slots withheld of all servers together follow the scheduled share."""
+        """The number of slots withheld on all servers together follows the scheduled share."""
         instance = steering_with(drain(), cap=orders.Cap(0.25, 10.0))
         views = [server_view(f"s{number}") for number in range(4)]
         counts = []
@@ -189,16 +195,21 @@
             drain(orders.DrainKind.FAILURE_DOMAIN, "north-b", "d2", cap=at_once),
         )
         instance.advance(SERVICES, 1.0, 1.0)
-        names = [("s1", "north-a"), ("s2", "north-a"), ("s3", "north-b"), ("s4", "south-a")]
+        server_domains = [
+            ("s1", "north-a"),
+            ("s2", "north-a"),
+            ("s3", "north-b"),
+            ("s4", "south-a"),
+        ]
         drained = [
             name
-            for name, zone in names
-            if instance.is_fully_drained(server_view(name, zone).entry)
+            for name, domain in server_domains
+            if instance.is_fully_drained(server_view(name, domain).entry)
         ]
         assert drained == ["s1", "s3"]
 
     def test_scheduled_drain(self):
-        """A drain has no effect before its begin, and its slots return after its end."""
+        """A drain has no effect before its start, and its slots return after its end."""
         instance = steering_with(drain(span=orders.Span(50.0, 60.0), cap=orders.Cap(1.0, 1.0)))
         shares = []
         for now in (49.0, 51.0, 59.0, 61.0, 63.0):
