--- a/src/carobhook/emulator/__init__.py
+++ b/src/carobhook/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Emulates the servers of a service under a load on virtual time, to measure decisions."""
+"""Simulates the backend servers of a service under load, to compare scheduling policies."""
--- a/src/carobhook/emulator/model.py
+++ b/src/carobhook/emulator/model.py
@@ -1,4 +1,4 @@
-"""What is emulated: kinds of requests, servers with objects that they had lately, a load."""
+"""Model of the simulated system: request kinds, servers that cache objects, and the load."""
 
 import collections
 import random
@@ -7,24 +7,24 @@
 import attrs
 from attrs import validators
 
-# A server works this much of the usual time on an object that it had lately.
-_WARM_SHARE = 0.3
-_KEPT_OBJECTS = 24
-_JITTER = (0.8, 1.2)
+# Work time on an object that the server has in its cache, as a share of the full work time.
+_CACHED_WORK_SHARE = 0.3
+_CACHE_SIZE = 24
+_WORK_TIME_JITTER = (0.8, 1.2)
 
 
 @attrs.frozen
-class Kind:
-    """A kind of requests.
+class RequestKind:
+    """Requests that have the same work time, target and deadline.
 
     Attributes:
         name: Its name.
-        weight: Its part of all requests.
-        work_s: Seconds of work on an object that the server did not have lately.
-        target_s: Seconds in which an answer is timely.
-        deadline_s: Seconds that a client waits.
-        priority: Rank; 0 is the most urgent.
-        objects: How many objects its requests are about.
+        weight: Weight of the kind in the mix of all requests.
+        work_s: Mean work time in seconds on an object that the server has not cached.
+        target_s: Seconds after arrival by which an answer is in time.
+        deadline_s: Seconds that the client waits for an answer.
+        priority: Rank of the requests; 0 is the most urgent.
+        objects: Number of distinct objects that the requests refer to.
     """
 
     name: str
@@ -37,24 +37,25 @@
 
 
 DEFAULT_KINDS = (
-    Kind("browse", 0.6, 0.64, 0.5, 3.0, 1, 110),
-    Kind("post", 0.3, 0.84, 1.2, 4.0, 0, 90),
-    Kind("download", 0.1, 0.52, 0.4, 2.5, 2, 30),
+    RequestKind("browse", 0.6, 0.64, 0.5, 3.0, 1, 110),
+    RequestKind("post", 0.3, 0.84, 1.2, 4.0, 0, 90),
+    RequestKind("download", 0.1, 0.52, 0.4, 2.5, 2, 30),
 )
 
 
 @attrs.frozen
-class Scene:
-    """Servers and a load.
+class Scenario:
+    """Servers and the load on them.
 
     Attributes:
-        load: Arrivals, as a share of what the slots bear if all work is warm.
+        load: Arriving work as a multiple of what the slots can process if every object is
+            cached.
         seed: Seed of arrivals, objects and work times.
-        servers: How many servers.
-        slots: Requests that each runs at once.
-        instances: Entry instances that the requests come through.
-        length_s: Seconds in which requests arrive.
-        kinds: Kinds of requests.
+        servers: Number of servers.
+        slots: Number of requests that each server runs concurrently.
+        instances: Number of entry instances that receive the requests.
+        duration_s: Seconds during which requests arrive.
+        kinds: Request kinds of the load.
     """
 
     load: float = attrs.field(validator=validators.gt(0))
@@ -62,15 +63,17 @@
     servers: int = attrs.field(default=12, validator=validators.ge(1))
     slots: int = attrs.field(default=4, validator=validators.ge(1))
     instances: int = attrs.field(default=9, validator=validators.ge(1))
-    length_s: float = 30.0
-    kinds: tuple[Kind, ...] = DEFAULT_KINDS
+    duration_s: float = 30.0
+    kinds: tuple[RequestKind, ...] = DEFAULT_KINDS
 
     @property
-    def rate(self) -> float:
-        """Return the arrivals a second."""
+    def arrival_rate(self) -> float:
+        """Return the mean number of requests that arrive a second."""
         weights = sum(kind.weight for kind in self.kinds)
-        mean_s = sum(kind.weight * kind.work_s for kind in self.kinds) / weights * _WARM_SHARE
-        return self.load * self.servers * self.slots / mean_s
+        mean_work_s = (
+            sum(kind.weight * kind.work_s for kind in self.kinds) / weights * _CACHED_WORK_SHARE
+        )
+        return self.load * self.servers * self.slots / mean_work_s
 
 
 @attrs.frozen
@@ -78,48 +81,50 @@
     """One request.
 
     Attributes:
-        number: Its number, in the order of arrival.
+        number: Position in the order of arrival, from 0.
         kind: Its kind.
-        object_key: Object that it is about.
-        instance: Entry instance that it comes through.
-        at: Time in seconds of its arrival.
+        object_key: Object that it refers to.
+        instance: Index of the entry instance that receives it.
+        arrived_at: Time of arrival in seconds.
     """
 
     number: int
-    kind: Kind
+    kind: RequestKind
     object_key: str
     instance: int
-    at: float
+    arrived_at: float
 
     @property
     def target_at(self) -> float:
-        """Return the time in seconds until which its answer is timely."""
-        return self.at + self.kind.target_s
+        """Return the time in seconds until which an answer is in time."""
+        return self.arrived_at + self.kind.target_s
 
 
-def arrivals(scene: Scene) -> Iterator[Request]:
-    """Yield the requests of a scene in the order of arrival."""
-    rng = random.Random(scene.seed)
-    weights = [kind.weight for kind in scene.kinds]
+def generate_requests(scenario: Scenario) -> Iterator[Request]:
+    """Yield the requests of a scenario in the order of arrival, as a Poisson process."""
+    rng = random.Random(scenario.seed)
+    weights = [kind.weight for kind in scenario.kinds]
     now, number = 0.0, 0
     while True:
-        now += rng.expovariate(scene.rate)
-        if now >= scene.length_s:
+        now += rng.expovariate(scenario.arrival_rate)
+        if now >= scenario.duration_s:
             return
-        kind = rng.choices(scene.kinds, weights)[0]
+        kind = rng.choices(scenario.kinds, weights)[0]
         key = f"{kind.name}-{rng.randrange(kind.objects)}"
-        yield Request(number, kind, key, rng.randrange(scene.instances), now)
+        yield Request(number, kind, key, rng.randrange(scenario.instances), now)
         number += 1
 
 
 @attrs.define
 class Server:
-    """A server, with a queue of what was sent beyond its slots.
+    """A server with a fixed number of slots, a request queue and an LRU cache of objects.
 
     Attributes:
         name: Its name.
-        slots: Requests that it runs at once.
-        rng: Source of its work times.
+        slots: Number of requests that it runs concurrently.
+        rng: Random source of its work times.
+        running: Number of requests that it runs now.
+        queue: Requests that it received while all slots were in use.
     """
 
     name: str
@@ -127,29 +132,29 @@
     rng: random.Random
     running: int = attrs.field(default=0, init=False)
     queue: collections.deque[Request] = attrs.field(factory=collections.deque, init=False)
-    _kept: collections.OrderedDict[str, None] = attrs.field(
+    _cache: collections.OrderedDict[str, None] = attrs.field(
         factory=collections.OrderedDict, init=False
     )
 
-    def knows(self, request: Request) -> bool:
-        """Tell whether it had a request's object lately."""
-        return request.object_key in self._kept
+    def has_cached(self, request: Request) -> bool:
+        """Return whether the object of a request is in the cache."""
+        return request.object_key in self._cache
 
-    def begin(self, request: Request) -> float:
-        """Take a slot for a request; return how long it works on it, in seconds."""
+    def start_request(self, request: Request) -> float:
+        """Start a request in a free slot and return its work time in seconds."""
         self.running += 1
-        share = _WARM_SHARE if self.knows(request) else 1.0
-        self.warm(request)
-        return request.kind.work_s * share * self.rng.uniform(*_JITTER)
+        share = _CACHED_WORK_SHARE if self.has_cached(request) else 1.0
+        self.cache_object(request)
+        return request.kind.work_s * share * self.rng.uniform(*_WORK_TIME_JITTER)
 
-    def warm(self, request: Request) -> None:
-        """Have a request's object from now on."""
-        self._kept[request.object_key] = None
-        self._kept.move_to_end(request.object_key)
-        if len(self._kept) > _KEPT_OBJECTS:
-            self._kept.popitem(last=False)
+    def cache_object(self, request: Request) -> None:
+        """Add the object of a request to the cache, or mark it as used most recently."""
+        self._cache[request.object_key] = None
+        self._cache.move_to_end(request.object_key)
+        if len(self._cache) > _CACHE_SIZE:
+            self._cache.popitem(last=False)
 
 
-def longest_warm_s(kind: Kind) -> float:
-    """Return the longest time in seconds of work on an object that a server had lately."""
-    return kind.work_s * _WARM_SHARE * _JITTER[1]
+def max_cached_work_s(kind: RequestKind) -> float:
+    """Return the longest possible work time in seconds on a cached object."""
+    return kind.work_s * _CACHED_WORK_SHARE * _WORK_TIME_JITTER[1]
--- a/src/carobhook/emulator/policies.py
+++ b/src/carobhook/emulator/policies.py
@@ -1,4 +1,4 @@
-"""Ways to place requests: the product's dispatcher, a baseline, and an ideal scheduler."""
+"""Scheduling policies: the product's dispatcher, a baseline, and an ideal scheduler."""
 
 import typing
 from collections.abc import Sequence
@@ -11,42 +11,44 @@
 
 _SERVICE = ids.Service("svc")
 _REGION = ids.Region("here")
-_ZONE = ids.FailureDomain("here-a")
+_DOMAIN = ids.FailureDomain("here-a")
 
 
 @attrs.frozen
-class Placed:
-    """A request goes to a server, which runs it at once or queues it."""
+class Placement:
+    """Sends a request to a server, which queues it while all of its slots are in use."""
 
     request: model.Request
     server: model.Server
 
 
 @attrs.frozen
-class Refused:
-    """A request is refused."""
+class Refusal:
+    """Refuses a request."""
 
     request: model.Request
 
 
-Decision = Placed | Refused
+Decision = Placement | Refusal
 
 
 class Policy(typing.Protocol):
-    """Places requests."""
+    """Decides which server runs each request, and when."""
 
-    def arrive(self, request: model.Request, now: float) -> list[Decision]:
-        """Take a request in; return what is decided now."""
+    def submit(self, request: model.Request, now: float) -> list[Decision]:
+        """Accept a new request and return the decisions that are due now."""
 
-    def ended(self, request: model.Request, server: model.Server, now: float) -> list[Decision]:
-        """Take in that a server has answered; return what is decided now."""
+    def record_completion(
+        self, request: model.Request, server: model.Server, now: float
+    ) -> list[Decision]:
+        """Record that a server answered a request and return the decisions that are due now."""
 
     def tick(self, now: float) -> list[Decision]:
-        """Return what is decided as time passes."""
+        """Return the decisions that are due without an arrival or a completion."""
 
 
-class OneDispatcher:
-    """The product's dispatcher of one service in one region.
+class DispatcherPolicy:
+    """Runs the product's dispatcher of one service in one region.
 
     Args:
         pool: The servers.
@@ -56,51 +58,54 @@
         self._servers = {ids.Server(server.name): server for server in pool}
         self._requests: dict[ids.RequestId, model.Request] = {}
         budget = retry_budget.RetryBudget(0.2, 50.0, 10.0)
-        self._one = dispatcher.Dispatcher(budget)
-        self._one.pool.replace((_offer(server) for server in pool), 0.0)
+        self._dispatcher = dispatcher.Dispatcher(budget)
+        self._dispatcher.pool.replace((_server_offer(server) for server in pool), 0.0)
 
-    def arrive(self, request: model.Request, now: float) -> list[Decision]:
-        """Ask the dispatcher for a slot."""
-        ask = allocation.SlotRequest(
+    def submit(self, request: model.Request, now: float) -> list[Decision]:
+        """Request a slot from the dispatcher."""
+        slot_request = allocation.SlotRequest(
             ids.RequestId(str(request.number)),
             _SERVICE,
             request.kind.name,
             request.object_key,
             request.kind.priority,
             request.target_at,
-            request.at + request.kind.deadline_s,
+            request.arrived_at + request.kind.deadline_s,
         )
-        self._requests[ask.id] = request
-        return self._decisions(self._one.submit(ask, now))
-
-    def ended(self, request: model.Request, server: model.Server, now: float) -> list[Decision]:
-        """Give the slot back."""
-        ask_id = ids.RequestId(str(request.number))
-        end = allocation.AttemptOutcome.ANSWERED
-        return self._decisions(
-            self._one.release_slot(ask_id, ids.Server(server.name), end, now)
+        self._requests[slot_request.id] = request
+        return self._convert(self._dispatcher.submit(slot_request, now))
+
+    def record_completion(
+        self, request: model.Request, server: model.Server, now: float
+    ) -> list[Decision]:
+        """Release the request's slot."""
+        request_id = ids.RequestId(str(request.number))
+        outcome = allocation.AttemptOutcome.ANSWERED
+        return self._convert(
+            self._dispatcher.release_slot(request_id, ids.Server(server.name), outcome, now)
         )
 
     def tick(self, now: float) -> list[Decision]:
-        """Look at what waits."""
-        return self._decisions(self._one.decide(now))
-
-    def _decisions(self, decided: list[dispatcher.Decision]) -> list[Decision]:
-        found: list[Decision] = []
-        for one in decided:
-            request = self._requests.pop(one.ask_id)
-            if isinstance(one, allocation.SlotGrant):
-                found.append(Placed(request, self._servers[one.server]))
+        """Let the dispatcher decide on its queued requests."""
+        return self._convert(self._dispatcher.decide(now))
+
+    def _convert(self, decided: list[dispatcher.Decision]) -> list[Decision]:
+        """Return the dispatcher's grants and refusals as decisions of a policy."""
+        decisions: list[Decision] = []
+        for decision in decided:
+            request = self._requests.pop(decision.ask_id)
+            if isinstance(decision, allocation.SlotGrant):
+                decisions.append(Placement(request, self._servers[decision.server]))
             else:
-                found.append(Refused(request))
-        return found
+                decisions.append(Refusal(request))
+        return decisions
 
 
-def _offer(server: model.Server) -> server_pool.ServerOffer:
+def _server_offer(server: model.Server) -> server_pool.ServerOffer:
     entry = servers.ServerEntry(
         ids.Server(server.name),
         _SERVICE,
-        _ZONE,
+        _DOMAIN,
         f"{server.name}:1",
         server.slots,
         servers.ServerState.READY,
@@ -109,43 +114,52 @@
     return server_pool.ServerOffer(catalog.ServerView(entry, 0.0), _REGION, server.slots)
 
 
-class LeastBusy:
-    """Each instance sends to the server that is least busy by its own counts.
+class LeastBusyPolicy:
+    """Sends each request to the server with the fewest open requests of the same instance.
+
+    An instance counts only the requests that it sent itself, so it does not know how busy a
+    server is with the requests of other instances.
 
     Args:
         pool: The servers.
-        instances: How many instances guess.
+        instances: Number of entry instances, each with its own counts.
     """
 
     def __init__(self, pool: Sequence[model.Server], instances: int) -> None:
         self._pool = list(pool)
-        self._sent = [dict.fromkeys((s.name for s in pool), 0) for _ in range(instances)]
+        self._open_requests = [
+            dict.fromkeys((s.name for s in pool), 0) for _ in range(instances)
+        ]
 
-    def arrive(self, request: model.Request, now: float) -> list[Decision]:
-        """Send it on at once."""
-        sent = self._sent[request.instance]
-        # Instances begin at different servers, so that equal counts do not all lead to one.
+    def submit(self, request: model.Request, now: float) -> list[Decision]:
+        """Place the request at once."""
+        counts = self._open_requests[request.instance]
+        # Each instance starts its search at another server. Otherwise all instances would
+        # choose the same server whenever their counts are equal.
         offset = request.instance % len(self._pool)
-        turned = self._pool[offset:] + self._pool[:offset]
-        server = min(turned, key=lambda one: sent[one.name])
-        sent[server.name] += 1
-        return [Placed(request, server)]
-
-    def ended(self, request: model.Request, server: model.Server, now: float) -> list[Decision]:
-        """Count it as gone."""
-        self._sent[request.instance][server.name] -= 1
+        rotated = self._pool[offset:] + self._pool[:offset]
+        server = min(rotated, key=lambda candidate: counts[candidate.name])
+        counts[server.name] += 1
+        return [Placement(request, server)]
+
+    def record_completion(
+        self, request: model.Request, server: model.Server, now: float
+    ) -> list[Decision]:
+        """Remove the request from its instance's count of the server."""
+        self._open_requests[request.instance][server.name] -= 1
         return []
 
     def tick(self, now: float) -> list[Decision]:
-        """Decide nothing."""
+        """Return no decisions, because every request is placed when it arrives."""
         return []
 
 
-class Ideal:
-    """Knows the future: each object is warm at one server, and only what will be timely runs.
+class IdealPolicy:
+    """Assigns each object to one server and runs only requests that will be answered in time.
 
-    No scheduler of the product can reach it, as somebody has to work on an object first. It
-    bounds what the slots can bear.
+    The server has the object in its cache before the first request for it. No real scheduler
+    can reach this result, because the first request for an object always finds it uncached.
+    The result serves as an upper bound on the requests that the slots can serve in time.
 
     Args:
         pool: The servers.
@@ -153,45 +167,54 @@
 
     def __init__(self, pool: Sequence[model.Server]) -> None:
         self._pool = list(pool)
-        self._homes: dict[str, model.Server] = {}
-        self._waiting: dict[str, list[model.Request]] = {server.name: [] for server in pool}
+        self._server_by_object: dict[str, model.Server] = {}
+        self._queues: dict[str, list[model.Request]] = {server.name: [] for server in pool}
 
-    def arrive(self, request: model.Request, now: float) -> list[Decision]:
-        """Let it wait at its object's server."""
-        home = self._home(request)
-        self._waiting[home.name].append(request)
-        return self._fill(home, now)
+    def submit(self, request: model.Request, now: float) -> list[Decision]:
+        """Queue the request for its object's server."""
+        server = self._assigned_server(request)
+        self._queues[server.name].append(request)
+        return self._fill_slots(server, now)
 
-    def ended(self, request: model.Request, server: model.Server, now: float) -> list[Decision]:
-        """Use the slot again."""
-        return self._fill(server, now)
+    def record_completion(
+        self, request: model.Request, server: model.Server, now: float
+    ) -> list[Decision]:
+        """Fill the slot that became free."""
+        return self._fill_slots(server, now)
 
     def tick(self, now: float) -> list[Decision]:
-        """Decide nothing beyond what arrivals and ends lead to."""
+        """Return no decisions, because only arrivals and completions lead to any."""
         return []
 
-    def _home(self, request: model.Request) -> model.Server:
-        """Return the server of an object; new ones go round, and are warm there at once."""
-        home = self._homes.get(request.object_key)
-        if home is None:
-            home = self._pool[len(self._homes) % len(self._pool)]
-            home.warm(request)
-            self._homes[request.object_key] = home
-        return home
-
-    def _fill(self, server: model.Server, now: float) -> list[Decision]:
-        """Give free slots to what is timely, by rank and target; refuse what no longer is."""
-        waiting = self._waiting[server.name]
-        found: list[Decision] = [
-            Refused(request) for request in waiting if not _is_timely(request, now)
+    def _assigned_server(self, request: model.Request) -> model.Server:
+        """Return the server of a request's object.
+
+        A new object is assigned to the next server in turn, and cached there at once.
+        """
+        server = self._server_by_object.get(request.object_key)
+        if server is None:
+            server = self._pool[len(self._server_by_object) % len(self._pool)]
+            server.cache_object(request)
+            self._server_by_object[request.object_key] = server
+        return server
+
+    def _fill_slots(self, server: model.Server, now: float) -> list[Decision]:
+        """Fill free slots from the server's queue.
+
+        Requests that would be late are refused; the others start by rank, then by target.
+        """
+        queue = self._queues[server.name]
+        decisions: list[Decision] = [
+            Refusal(request) for request in queue if not _will_be_in_time(request, now)
         ]
-        waiting[:] = [request for request in waiting if _is_timely(request, now)]
-        waiting.sort(key=lambda request: (request.kind.priority, request.target_at))
+        queue[:] = [request for request in queue if _will_be_in_time(request, now)]
+        queue.sort(key=lambda request: (request.kind.priority, request.target_at))
         free = server.slots - server.running
-        found += [Placed(request, server) for request in waiting[:free]]
-        del waiting[:free]
-        return found
+        decisions += [Placement(request, server) for request in queue[:free]]
+        del queue[:free]
+        return decisions
 
 
-def _is_timely(request: model.Request, now: float) -> bool:
-    return now + model.longest_warm_s(request.kind) <= request.target_at
+def _will_be_in_time(request: model.Request, now: float) -> bool:
+    """Return whether a request with a cached object is sure to be in time if it starts now."""
+    return now + model.max_cached_work_s(request.kind) <= request.target_at
--- /dev/null
+++ b/src/carobhook/emulator/simulation.py
@@ -0,0 +1,135 @@
+"""Runs a scenario under a scheduling policy on virtual time and counts the outcomes."""
+
+import collections
+import heapq
+import itertools
+import random
+import typing
+
+import attrs
+
+from carobhook.emulator import model, policies
+
+_TICK_INTERVAL_S = 0.1
+
+
+@attrs.define
+class RequestStats:
+    """Outcomes and response times of the requests of one kind, or of all kinds.
+
+    Attributes:
+        total: Number of requests that arrived.
+        in_time: Number of requests that were answered by their target.
+        late: Number of requests that were answered after their target, by their deadline.
+        refused: Number of requests that the policy refused.
+        response_times_s: Response time in seconds of each answered request, including those
+            that were answered after their deadline.
+    """
+
+    total: int = 0
+    in_time: int = 0
+    late: int = 0
+    refused: int = 0
+    response_times_s: list[float] = attrs.field(factory=list)
+
+    @property
+    def share_in_time(self) -> float:
+        """Return the share of the requests that were answered in time."""
+        return self.in_time / self.total if self.total else 0.0
+
+    def p99_s(self) -> float:
+        """Return the 99th percentile of the response times in seconds."""
+        ordered = sorted(self.response_times_s)
+        return ordered[int(len(ordered) * 0.99)] if ordered else 0.0
+
+
+POLICIES: dict[str, typing.Callable[[list[model.Server], model.Scenario], policies.Policy]] = {
+    "dispatcher": lambda pool, scenario: policies.DispatcherPolicy(pool),
+    "least-busy": lambda pool, scenario: policies.LeastBusyPolicy(pool, scenario.instances),
+    "ideal": lambda pool, scenario: policies.IdealPolicy(pool),
+}
+
+
+def simulate(scenario: model.Scenario, policy: str) -> dict[str, RequestStats]:
+    """Return the statistics of a simulated run by request kind, and of all under "".
+
+    Args:
+        scenario: Servers and load.
+        policy: A key of `POLICIES`.
+    """
+    return _Simulation(scenario, policy).run()
+
+
+class _Simulation:
+    """Discrete-event simulation of one scenario under one policy."""
+
+    def __init__(self, scenario: model.Scenario, policy: str) -> None:
+        rng = random.Random(scenario.seed + 1)
+        pool = [
+            model.Server(f"s{number}", scenario.slots, random.Random(rng.getrandbits(64)))
+            for number in range(scenario.servers)
+        ]
+        self._policy = POLICIES[policy](pool, scenario)
+        self._scenario = scenario
+        # The sequence number keeps events of the same time in the order of scheduling.
+        self._events: list[tuple[float, int, typing.Callable[[float], None]]] = []
+        self._sequence_numbers = itertools.count()
+        self._stats: dict[str, RequestStats] = collections.defaultdict(RequestStats)
+
+    def run(self) -> dict[str, RequestStats]:
+        """Process events until none is left, and return the statistics."""
+        for request in model.generate_requests(self._scenario):
+            self._schedule(request.arrived_at, self._arrival_callback(request))
+        for tick in range(int(self._scenario.duration_s / _TICK_INTERVAL_S)):
+            self._schedule(tick * _TICK_INTERVAL_S, self._tick)
+        while self._events:
+            now, _, callback = heapq.heappop(self._events)
+            callback(now)
+        return dict(self._stats)
+
+    def _schedule(self, when: float, callback: typing.Callable[[float], None]) -> None:
+        heapq.heappush(self._events, (when, next(self._sequence_numbers), callback))
+
+    def _arrival_callback(self, request: model.Request) -> typing.Callable[[float], None]:
+        def arrive(now: float) -> None:
+            for stats in self._stats_for(request):
+                stats.total += 1
+            self._apply(self._policy.submit(request, now), now)
+
+        return arrive
+
+    def _tick(self, now: float) -> None:
+        self._apply(self._policy.tick(now), now)
+
+    def _apply(self, decisions: list[policies.Decision], now: float) -> None:
+        for decision in decisions:
+            if isinstance(decision, policies.Refusal):
+                for stats in self._stats_for(decision.request):
+                    stats.refused += 1
+            elif decision.server.running < decision.server.slots:
+                self._start_request(decision.server, decision.request, now)
+            else:
+                decision.server.queue.append(decision.request)
+
+    def _start_request(self, server: model.Server, request: model.Request, now: float) -> None:
+        def complete(completed_at: float) -> None:
+            server.running -= 1
+            if server.queue:
+                self._start_request(server, server.queue.popleft(), completed_at)
+            self._record_answer(request, completed_at)
+            self._apply(
+                self._policy.record_completion(request, server, completed_at), completed_at
+            )
+
+        self._schedule(now + server.start_request(request), complete)
+
+    def _record_answer(self, request: model.Request, now: float) -> None:
+        for stats in self._stats_for(request):
+            stats.response_times_s.append(now - request.arrived_at)
+            if now <= request.target_at:
+                stats.in_time += 1
+            elif now <= request.arrived_at + request.kind.deadline_s:
+                stats.late += 1
+
+    def _stats_for(self, request: model.Request) -> tuple[RequestStats, RequestStats]:
+        return self._stats[request.kind.name], self._stats[""]
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""Tests of carobhook.emulator, and of the dispatcher's share of what is possible under load."""
+"""Tests of carobhook.emulator, and of the dispatcher against its baseline and the ideal."""
 
 import json
 import random
@@ -7,77 +7,80 @@
 from typer import testing
 
 from carobhook import cli
-from carobhook.emulator import model, play
+from carobhook.emulator import model, simulation
 
 
-def shares(policy, load, seed=1, **fields):
-    """Return the requests in time, as a share of all, of a scene of some seconds."""
-    scene = model.Scene(load, seed, length_s=12.0, **fields)
-    return play.play(scene, policy)
+def simulate(policy, load, seed=1, **fields):
+    """Return the statistics of a scenario of 12 seconds."""
+    scenario = model.Scenario(load, seed, duration_s=12.0, **fields)
+    return simulation.simulate(scenario, policy)
 
 
 class TestModel:
-    """Loads and servers."""
+    """Load and servers."""
 
-    def test_load_is_that_of_the_slots(self):
-        """Arrivals at load 1 keep all slots busy with warm work."""
-        scene = model.Scene(1.0, 3, length_s=60.0)
-        requests = list(model.arrivals(scene))
+    def test_load_one_fills_all_slots(self):
+        """Arrivals at load 1 need all slots if every object is cached."""
+        scenario = model.Scenario(1.0, 3, duration_s=60.0)
+        requests = list(model.generate_requests(scenario))
         work_s = sum(0.3 * request.kind.work_s for request in requests)
-        borne_s = scene.servers * scene.slots * scene.length_s
-        assert 0.93 < work_s / borne_s < 1.07
+        capacity_s = scenario.servers * scenario.slots * scenario.duration_s
+        assert 0.93 < work_s / capacity_s < 1.07
         assert {request.instance for request in requests} == set(range(9))
 
-    def test_object_is_warm_until_many_others_came(self):
-        """A server works faster on what it had lately."""
+    def test_object_is_cached_until_many_others_are(self):
+        """A server needs less time for a cached object, and evicts the least recent one."""
         server = model.Server("s", 4, random.Random(1))
         kind = model.DEFAULT_KINDS[0]
         requests = [model.Request(n, kind, f"o{n}", 0, 0.0) for n in range(30)]
-        cold_s, warm_s = server.begin(requests[0]), server.begin(requests[0])
+        cold_s, warm_s = server.start_request(requests[0]), server.start_request(requests[0])
         assert warm_s < 0.5 * cold_s
         for request in requests[1:]:
-            server.begin(request)
-        assert not server.knows(requests[0])
+            server.start_request(request)
+        assert not server.has_cached(requests[0])
 
 
 class TestPolicies:
-    """What becomes of every request."""
+    """Outcomes of the requests under each policy."""
 
-    @pytest.mark.parametrize("policy", sorted(play.POLICIES))
+    @pytest.mark.parametrize("policy", sorted(simulation.POLICIES))
     @pytest.mark.parametrize("load", [0.5, 2.0])
-    def test_every_request_ends_once(self, policy, load):
-        """Each is answered or refused, and the kinds add up to all."""
-        tallies = shares(policy, load)
-        whole = tallies.pop("")
-        assert whole.asked == sum(tally.asked for tally in tallies.values())
-        assert len(whole.seconds) + whole.refused == whole.asked
-
-    def test_ideal_serves_all_it_can(self):
-        """It answers nearly everything in time below capacity, and fills the slots above."""
-        assert shares("ideal", 0.6)[""].share_in_time > 0.97
-        assert shares("ideal", 2.0)[""].share_in_time > 0.45
+    def test_every_request_has_one_outcome(self, policy, load):
+        """Each request is answered or refused, and the kinds add up to the total."""
+        by_kind = simulate(policy, load)
+        overall = by_kind.pop("")
+        assert overall.total == sum(stats.total for stats in by_kind.values())
+        assert len(overall.response_times_s) + overall.refused == overall.total
+
+    def test_ideal_policy_uses_the_capacity(self):
+        """Nearly all requests are in time below capacity; above it, the slots stay in use."""
+        assert simulate("ideal", 0.6)[""].share_in_time > 0.97
+        assert simulate("ideal", 2.0)[""].share_in_time > 0.45
 
     @pytest.mark.parametrize("load", [1.2, 2.5])
-    def test_dispatcher_beats_guessing(self, load):
-        """Under load, exact slots and early refusals serve several times as many in time."""
-        ours, guessed = shares("dispatcher", load)[""], shares("least-busy", load)[""]
-        assert ours.in_time > 3 * guessed.in_time
-
-    def test_more_instances_change_nothing_for_the_dispatcher(self):
-        """One dispatcher counts the slots, whoever asks."""
-        few = shares("dispatcher", 1.2, instances=9)[""]
-        many = shares("dispatcher", 1.2, instances=300)[""]
+    def test_dispatcher_beats_least_busy_under_overload(self, load):
+        """The dispatcher counts all slots and refuses early, so more requests are in time."""
+        dispatched, baseline = (
+            simulate("dispatcher", load)[""],
+            simulate("least-busy", load)[""],
+        )
+        assert dispatched.in_time > 3 * baseline.in_time
+
+    def test_number_of_instances_does_not_affect_the_dispatcher(self):
+        """One dispatcher counts the slots, whichever instance requests them."""
+        few = simulate("dispatcher", 1.2, instances=9)[""]
+        many = simulate("dispatcher", 1.2, instances=300)[""]
         assert abs(few.share_in_time - many.share_in_time) < 0.05
 
 
 class TestMeasure:
-    """The command."""
+    """The command measure."""
 
     def test_rows(self):
-        """Each load has a row for each policy."""
+        """Each load has one row for each policy."""
         arguments = ["measure", "--load", "0.8", "--length", "3", "--json"]
         done = testing.CliRunner().invoke(cli.app, arguments)
         assert done.exit_code == 0
         rows = [json.loads(line) for line in done.stdout.splitlines()]
-        assert [row["policy"] for row in rows] == list(play.POLICIES)
+        assert [row["policy"] for row in rows] == list(simulation.POLICIES)
         assert all(0 <= row["in_time"] <= 1 for row in rows)
