--- a/src/carobhook/cli/__init__.py
+++ b/src/carobhook/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line: assembles the commands into one typer application."""
 
 import typer
 
--- a/src/carobhook/cli/ctl.py
+++ b/src/carobhook/cli/ctl.py
@@ -1,4 +1,4 @@
-"""The operators' client: one order, a file of orders, or a prompt."""
+"""Command `ctl`, which sends orders from its arguments, a file or a prompt to a daemon."""
 
 import functools
 import os
@@ -82,67 +82,82 @@
     force in time.
     """
     if order and file:
-        exits.leave(exits.Exit.USAGE, "error: give an order or --file, not both")
+        exits.exit_with(exits.Exit.USAGE, "error: give an order or --file, not both")
     if not checks.ADDRESS.accepts(address):
         expected = checks.ADDRESS.expected
-        exits.leave(exits.Exit.USAGE, f"error: --operator is {address!r}, expected {expected}")
-    token = _token(token_file)
+        exits.exit_with(
+            exits.Exit.USAGE, f"error: --operator is {address!r}, expected {expected}"
+        )
+    token = _read_token(token_file)
     if ca_file is not None and not ca_file.is_file():
-        exits.leave(exits.Exit.USAGE, f"error: --ca-file {ca_file} cannot be read")
-    orders = [" ".join(order)] if order else _orders_of(file)
-    given = _open_session(address, token, ca_file, as_json=as_json, wait_s=wait_s)
+        exits.exit_with(exits.Exit.USAGE, f"error: --ca-file {ca_file} cannot be read")
+    orders = [" ".join(order)] if order else _read_orders(file)
+    ctl_session = _open_session(address, token, ca_file, as_json=as_json, wait_s=wait_s)
     if orders is None:
-        raise typer.Exit(given.prompt(_prompt_reader(history)))
-    raise typer.Exit(given.run_all(orders))
+        raise typer.Exit(ctl_session.run_prompt(_prompt_reader(history)))
+    raise typer.Exit(ctl_session.run_orders(orders))
 
 
 def _open_session(
     address: str, token: str, ca_file: pathlib.Path | None, *, as_json: bool, wait_s: float
 ) -> "session.Session":
-    # Imported late, as the HTTP client would slow down the start of every other command.
+    # Importing the HTTP client takes long, so commands that do not need it do not import it.
     from carobhook.cli import operator, output, session
 
     printer = output.JsonPrinter() if as_json else output.TablePrinter()
-    blocking = operator.BlockingOperator(
+    client = operator.BlockingOperator(
         lambda reactor: operator.HttpOperator(reactor, address, token, ca_file)
     )
-    return session.Session(blocking, printer, wait_s)
+    return session.Session(client, printer, wait_s)
+
 
+def _read_token(file: pathlib.Path | None) -> str:
+    """Return the operator's token from a file or the environment.
 
-def _token(file: pathlib.Path | None) -> str:
-    """Return the operator's token from a file or the environment."""
+    Raises:
+        typer.Exit: There is no readable token, or it is not printable ASCII.
+    """
     if file is None:
         token = os.environ.get(TOKEN_VARIABLE, "").strip()
         source = f"${TOKEN_VARIABLE}"
     else:
         try:
             token = file.read_text("utf-8").strip()
-        except (OSError, UnicodeDecodeError) as problem:
-            exits.leave(exits.Exit.USAGE, f"error: --token-file {file}: {problem}")
+        except (OSError, UnicodeDecodeError) as error:
+            exits.exit_with(exits.Exit.USAGE, f"error: --token-file {file}: {error}")
         source = str(file)
     if not token:
-        exits.leave(
+        exits.exit_with(
             exits.Exit.USAGE, f"error: no token; set ${TOKEN_VARIABLE} or give --token-file"
         )
     if not (token.isascii() and token.isprintable()):
-        exits.leave(exits.Exit.USAGE, f"error: the token in {source} must be printable ASCII")
+        exits.exit_with(
+            exits.Exit.USAGE, f"error: the token in {source} must be printable ASCII"
+        )
     return token
 
 
-def _orders_of(file: pathlib.Path | None) -> Iterable[str] | None:
-    """Return the orders of a file or of standard input; None when they are to be typed."""
+def _read_orders(file: pathlib.Path | None) -> Iterable[str] | None:
+    """Return the orders in a file or standard input.
+
+    Returns None if there is no file and standard input is a terminal, where a prompt reads
+    the orders.
+
+    Raises:
+        typer.Exit: The file cannot be read.
+    """
     if file is None and sys.stdin.isatty():
         return None
     if file is None or str(file) == "-":
-        return _orders(sys.stdin)
+        return _parse_orders(sys.stdin)
     try:
-        return _orders(file.read_text("utf-8").splitlines())
-    except (OSError, UnicodeDecodeError) as problem:
-        exits.leave(exits.Exit.USAGE, f"error: --file {file}: {problem}")
+        return _parse_orders(file.read_text("utf-8").splitlines())
+    except (OSError, UnicodeDecodeError) as error:
+        exits.exit_with(exits.Exit.USAGE, f"error: --file {file}: {error}")
 
 
-def _orders(lines: Iterable[str]) -> Iterator[str]:
-    """Yield the orders of some lines, without comments and empty lines."""
+def _parse_orders(lines: Iterable[str]) -> Iterator[str]:
+    """Yield the lines that contain an order, without comments and empty lines."""
     for line in lines:
         text = line.strip()
         if text and not text.startswith("#"):
@@ -150,11 +165,16 @@
 
 
 def _prompt_reader(history: pathlib.Path | None) -> Callable[[], str]:
+    """Return a function that reads one line at the prompt.
+
+    Args:
+        history: File that keeps the lines for later prompts; None to keep them in memory.
+    """
     import prompt_toolkit
-    from prompt_toolkit import history as histories
+    from prompt_toolkit import history as prompt_history
 
-    kept: typing.Any = histories.InMemoryHistory()
+    store: typing.Any = prompt_history.InMemoryHistory()
     if history is not None:
-        kept = histories.FileHistory(str(history))
-    session: typing.Any = prompt_toolkit.PromptSession(history=kept)
+        store = prompt_history.FileHistory(str(history))
+    session: typing.Any = prompt_toolkit.PromptSession(history=store)
     return functools.partial(session.prompt, "carobhook> ")
--- a/src/carobhook/cli/demo.py
+++ b/src/carobhook/cli/demo.py
@@ -1,4 +1,4 @@
-"""The demo: a whole deployment on loopback."""
+"""Command `demo`, which runs or writes a complete deployment on loopback."""
 
 import pathlib
 import secrets
@@ -35,22 +35,22 @@
         peer_key=secrets.token_urlsafe(_TOKEN_BYTES),
     )
     if write is None:
-        _run_here(layout)
+        _run_in_process(layout)
         return
     try:
         layouts.write(layout, write)
-    except OSError as problem:
-        exits.leave(exits.Exit.USAGE, f"error: --write {write}: {problem}")
+    except OSError as error:
+        exits.exit_with(exits.Exit.USAGE, f"error: --write {write}: {error}")
     typer.echo(f"wrote {len(layout.instances)} instances to {write}")
 
 
-def _run_here(layout: layouts.Layout) -> None:
-    # Imported late, so that writing the files needs no reactor.
+def _run_in_process(layout: layouts.Layout) -> None:
+    # Imported here, because writing the files needs no reactor.
     from twisted.internet import reactor
 
     from carobhook import logs, settings
-    from carobhook.cli import local, running
+    from carobhook.cli import local, reactor_runner
 
     logs.setup(settings.LogSettings(level="warning"), sys.stderr)
     deployment = local.LocalDemo(reactor, layout)
-    running.until_stopped(reactor, deployment.start, deployment.stop)
+    reactor_runner.run_until_stopped(reactor, deployment.start, deployment.stop)
--- a/src/carobhook/cli/exits.py
+++ b/src/carobhook/cli/exits.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command line."""
+"""Exit codes of the commands, and the function that ends a command with one."""
 
 import enum
 import typing
@@ -7,7 +7,11 @@
 
 
 class Exit(enum.IntEnum):
-    """What an exit code means; a process that ended by a signal has the shell's own code."""
+    """Exit codes of the commands.
+
+    A command that a signal kills has none of these, but the code that the shell reports for
+    the signal.
+    """
 
     OK = 0
     REFUSED = 1
@@ -18,8 +22,8 @@
     FAILED = 6
 
 
-def leave(code: Exit, *lines: str) -> typing.NoReturn:
-    """Print lines to standard error and end the command.
+def exit_with(code: Exit, *lines: str) -> typing.NoReturn:
+    """Print lines to standard error and end the command with an exit code.
 
     Raises:
         typer.Exit: Always.
--- a/src/carobhook/cli/explain_request.py
+++ b/src/carobhook/cli/explain_request.py
@@ -1,4 +1,4 @@
-"""Command that finds the cause of a request's end in the instances' log lines."""
+"""Command `explain-request`, which finds why a request ended in the instances' log lines."""
 
 import collections
 import json
@@ -32,13 +32,13 @@
 
     Exits with 0 when the end of the request is known, and with 1 when no line tells it.
     """
-    traces = request_trace.read(_lines(files or []))
+    traces = request_trace.read(_read_lines(files or []))
     if failed:
-        _list_failed(traces, as_json)
+        _print_failed(traces, as_json)
         return
     trace = traces.get(request)
     if trace is None:
-        exits.leave(exits.Exit.REFUSED, f"no line tells of request {request}")
+        exits.exit_with(exits.Exit.REFUSED, f"no line tells of request {request}")
     if as_json:
         lines = [
             {**line.fields, "event": line.event, "time": line.time} for line in trace.lines
@@ -52,18 +52,23 @@
         raise typer.Exit(exits.Exit.REFUSED)
 
 
-def _lines(files: list[pathlib.Path]) -> Iterator[str]:
+def _read_lines(files: list[pathlib.Path]) -> Iterator[str]:
+    """Yield the lines of all files, or of standard input if there is no file."""
     if not files:
         yield from sys.stdin
     for file in files:
         try:
             with file.open(encoding="utf-8", errors="replace") as stream:
                 yield from stream
-        except OSError as problem:
-            exits.leave(exits.Exit.USAGE, f"{file}: {problem.strerror}")
+        except OSError as error:
+            exits.exit_with(exits.Exit.USAGE, f"{file}: {error.strerror}")
 
 
-def _list_failed(traces: dict[str, request_trace.Trace], as_json: bool) -> None:
+def _print_failed(traces: dict[str, request_trace.Trace], as_json: bool) -> None:
+    """Print the ids of failed requests by result code.
+
+    As text, the most frequent code comes first, with at most five ids of each.
+    """
     by_cause: dict[str, list[str]] = collections.defaultdict(list)
     for trace in traces.values():
         if trace.failed and trace.code is not None:
--- a/src/carobhook/cli/local.py
+++ b/src/carobhook/cli/local.py
@@ -1,4 +1,4 @@
-"""Runs the demo's deployment in one process."""
+"""Runs the demo deployment in one process."""
 
 import random
 from typing import Any
@@ -12,14 +12,14 @@
 from carobhook.standins import memory_store, platform_client, platform_store, service_group
 from carobhook.transport import entry_daemon
 
-_RATE = 10.0
-_SPELL_S = 60.0
+_REQUESTS_PER_S = 10.0
+_TRAFFIC_RUN_S = 60.0
 _STORE_TIMEOUT_S = 2.0
 
 
 @attrs.define
 class LocalDemo:
-    """Store, backend servers, entry instances and clients in one reactor."""
+    """The store, backend servers, entry instances and clients of the demo in one reactor."""
 
     _reactor: Any
     _layout: demo.Layout
@@ -27,19 +27,23 @@
     _stopping: bool = attrs.field(default=False, init=False)
 
     async def start(self) -> None:
-        """Start everything and print how to look around."""
-        engine = platform_store.PlatformStoreServer(self._reactor, memory_store.MemoryStore())
-        engine.listen(demo.HOST, self._layout.ports.store)
-        engine.put(names.CONFIG_KIND, names.CONFIG_NAME, demo.config())
-        client = store.PlatformStore(self._reactor, self._layout.store, _STORE_TIMEOUT_S)
-        await service_group.ServiceGroup(self._reactor, client).start(self._layout.servers)
+        """Start the deployment, print a guide to it and begin to send traffic."""
+        store_server = platform_store.PlatformStoreServer(
+            self._reactor, memory_store.MemoryStore()
+        )
+        store_server.listen(demo.HOST, self._layout.ports.store)
+        store_server.put(names.CONFIG_KIND, names.CONFIG_NAME, demo.config())
+        store_client = store.PlatformStore(self._reactor, self._layout.store, _STORE_TIMEOUT_S)
+        await service_group.ServiceGroup(self._reactor, store_client).start(
+            self._layout.servers
+        )
         for index in range(len(self._layout.instances)):
             loaded = entry_settings.loads(self._layout.settings_text(index))
             daemon = entry_daemon.EntryDaemon(loaded, self._reactor)
             await daemon.start()
             self._daemons.append(daemon)
         typer.echo(self._layout.guide(self._layout.token))
-        defer.ensureDeferred(self._call()).addErrback(_log_failure)
+        defer.ensureDeferred(self._send_traffic()).addErrback(_log_failure)
 
     async def stop(self) -> None:
         """Stop every entry instance gracefully."""
@@ -49,13 +53,13 @@
             [defer.ensureDeferred(daemon.stop()) for daemon in self._daemons]
         )
 
-    async def _call(self) -> None:
-        """Send a little traffic until the stop."""
+    async def _send_traffic(self) -> None:
+        """Send requests at a low rate until the demo stops."""
         client = platform_client.PlatformClient(
             self._reactor, self._layout.directories, "addis", "addis-a", random.Random()
         )
         while not self._stopping:
-            await client.run(demo.request_plans(), _RATE, _SPELL_S)
+            await client.run(demo.request_plans(), _REQUESTS_PER_S, _TRAFFIC_RUN_S)
 
 
 def _log_failure(reason: Any) -> None:
--- a/src/carobhook/cli/operator.py
+++ b/src/carobhook/cli/operator.py
@@ -1,4 +1,4 @@
-"""Client of a daemon's operator port: values and HTTP."""
+"""HTTP client of a daemon's operator port, and the orders and answers that it exchanges."""
 
 import functools
 import pathlib
@@ -18,7 +18,7 @@
 from carobhook.state import codes, ids
 
 REQUEST_TIMEOUT_S = 10.0
-ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 _RETRY_DELAY_S = 0.3
 
 _T = typing.TypeVar("_T")
@@ -30,7 +30,7 @@
 
 
 class UnexpectedAnswerError(Exception):
-    """Something answered at the operator address, but not as a daemon does."""
+    """The response from the operator address is not one that a daemon sends."""
 
 
 def _new_order_id() -> ids.OrderId:
@@ -39,11 +39,12 @@
 
 @attrs.frozen
 class Order:
-    """One order.
+    """Order to a daemon.
 
     Attributes:
         text: The order as the operator wrote it.
-        id: Random id; the same in every attempt to send the order.
+        id: Random id, the same in all attempts to send the order, by which the daemon
+            recognises a repeated one.
     """
 
     text: str
@@ -52,14 +53,15 @@
 
 @attrs.frozen
 class Answer:
-    """Answer to one order.
+    """Answer of a daemon to one order or query.
 
     Attributes:
         code: Number of the result code.
-        text: One sentence for people.
-        version: Configuration version that the order made, None when it made none.
-        columns: Names of the columns of a query's answer.
-        rows: Rows of a query's answer, one value for each column.
+        text: Result in one sentence, for people.
+        version: Version of the orders that the order made or that the answer describes, None
+            if there is neither.
+        columns: Column names of the table that answers a query, None without a table.
+        rows: Rows of the table, with one value for each column.
     """
 
     code: int
@@ -76,14 +78,14 @@
 
 @attrs.frozen
 class Progress:
-    """How far a configuration version has come.
+    """Progress of a version of the orders towards being in force in all live instances.
 
     Attributes:
         version: The version.
-        in_force: Instances in which it is in force.
-        total: Live instances.
-        missing: Names of the instances that do not have it yet.
-        seconds: Time since it was accepted.
+        in_force: Number of live instances in which it is in force.
+        total: Number of live instances.
+        missing: Names of the live instances in which it is not in force yet.
+        seconds: Seconds since the version was accepted.
     """
 
     version: int
@@ -94,7 +96,7 @@
 
     @property
     def complete(self) -> bool:
-        """Return whether the version is in force everywhere."""
+        """Return whether the version is in force in all live instances."""
         return self.total > 0 and self.in_force >= self.total
 
 
@@ -105,23 +107,23 @@
 
 
 class Operator(typing.Protocol):
-    """What the command line asks of a daemon."""
+    """Sends orders to a daemon and waits for the answers."""
 
     def send(self, order: Order) -> Answer:
         """Send one order and return its answer."""
 
-    def progress(self, version: int) -> Progress:
-        """Return how far a configuration version has come."""
+    def fetch_progress(self, version: int) -> Progress:
+        """Return in which instances a version of the orders is in force."""
 
 
 class HttpOperator:
-    """Speaks HTTP to a daemon's operator port.
+    """Sends orders to a daemon's operator port over HTTP.
 
     Args:
-        reactor: Sockets and timers.
+        reactor: Reactor for connections and timers.
         address: ``host:port`` of the operator port.
         token: The operator's token.
-        ca_file: PEM file of authorities; the port speaks TLS when it is given.
+        ca_file: PEM file of trusted authorities; enables TLS if it is given.
     """
 
     def __init__(
@@ -136,48 +138,50 @@
     async def send(self, order: Order) -> Answer:
         """Send one order and return its answer.
 
-        The order is sent again, with the same id, when no answer comes.
+        An attempt without an answer is repeated with the same order id.
 
         Raises:
-            UnreachableError: No answer came.
-            UnexpectedAnswerError: The answer is not one of a daemon.
+            UnreachableError: No attempt got an answer.
+            UnexpectedAnswerError: The response is not one that a daemon sends.
         """
         body: dict[str, Any] = {"id": order.id, "text": order.text}
-        return await self._attempt(Answer, "POST", "orders", body)
+        return await self._call_with_retries(Answer, "POST", "orders", body)
 
-    async def progress(self, version: int) -> Progress:
-        """Return how far a configuration version has come.
+    async def fetch_progress(self, version: int) -> Progress:
+        """Return in which instances a version of the orders is in force.
 
         Raises:
-            UnreachableError: No answer came.
-            UnexpectedAnswerError: The answer is not one of a daemon.
+            UnreachableError: No attempt got an answer.
+            UnexpectedAnswerError: The response is not one that a daemon sends.
         """
-        return await self._attempt(Progress, "GET", f"in-force/{version}", None)
+        return await self._call_with_retries(Progress, "GET", f"in-force/{version}", None)
 
-    async def _attempt(self, kind: type[_T], method: str, path: str, body: Any) -> _T:
-        for attempt in range(ATTEMPTS):
+    async def _call_with_retries(
+        self, answer_type: type[_T], method: str, path: str, body: Any
+    ) -> _T:
+        for attempt in range(MAX_ATTEMPTS):
             await task.deferLater(self._reactor, _RETRY_DELAY_S * attempt)
-            call = defer.ensureDeferred(self._exchange(kind, method, path, body))
+            call = defer.ensureDeferred(self._call_once(answer_type, method, path, body))
             try:
                 return await call.addTimeout(REQUEST_TIMEOUT_S, self._reactor)
-            except _NO_ANSWER as problem:
-                reason = _reason(problem)
+            except _RETRIED_ERRORS as exc:
+                reason = _describe_error(exc)
         raise UnreachableError(f"no daemon answers at {self._address}: {reason}")
 
-    async def _exchange(self, kind: type[_T], method: str, path: str, body: Any) -> _T:
+    async def _call_once(self, answer_type: type[_T], method: str, path: str, body: Any) -> _T:
         url = f"{self._base}/{path}"
         response = await self._client.request(method, url, json=body, headers=self._headers)
         text = await treq.text_content(response, "utf-8")
         try:
-            return _CONVERTER.loads(text, kind)
-        except Exception as problem:
+            return _CONVERTER.loads(text, answer_type)
+        except Exception as exc:
             raise UnexpectedAnswerError(
                 f"{self._address} gave HTTP status {response.code} and a body of "
                 f"{len(text)} characters that is not an answer to an order"
-            ) from problem
+            ) from exc
 
 
-_NO_ANSWER = (
+_RETRIED_ERRORS = (
     error.ConnectError,
     error.ConnectionClosed,
     error.DNSLookupError,
@@ -191,20 +195,22 @@
 
 
 def _agent(reactor: Any, ca_file: pathlib.Path | None) -> Any:
+    """Return an HTTP agent that, if a file is given, trusts only the authorities in it."""
     if ca_file is None:
         return client.Agent(reactor)
     authorities = ssl.trustRootFromCertificates([ssl.Certificate.loadPEM(ca_file.read_bytes())])
     return client.Agent(reactor, client.BrowserLikePolicyForHTTPS(authorities))
 
 
-def _reason(problem: BaseException) -> str:
-    if isinstance(problem, error.ConnectionRefusedError):
+def _describe_error(exc: BaseException) -> str:
+    """Return a text for people that says why an attempt got no answer."""
+    if isinstance(exc, error.ConnectionRefusedError):
         return "connection refused"
-    if isinstance(problem, (defer.TimeoutError, error.TimeoutError)):
+    if isinstance(exc, (defer.TimeoutError, error.TimeoutError)):
         return f"no answer within {REQUEST_TIMEOUT_S:g} s"
-    reasons = getattr(problem, "reasons", None)
+    reasons = getattr(exc, "reasons", None)
     if not reasons:
-        return str(problem) or type(problem).__name__
+        return str(exc) or type(exc).__name__
     if reasons[0].check(SSL.Error):
         return "no trusted TLS connection"
     if reasons[0].check(error.ConnectionDone, error.ConnectionLost):
@@ -213,23 +219,23 @@
 
 
 class BlockingOperator:
-    """Offers an `HttpOperator` to code without a reactor, which runs in a thread of its own.
+    """Makes blocking calls to an `HttpOperator`, whose reactor runs in another thread.
 
     Args:
-        connect: Makes the client, given the reactor.
+        create_client: Returns the client for a reactor.
     """
 
-    def __init__(self, connect: Callable[[Any], HttpOperator]) -> None:
-        self._reactor = _running_reactor()
-        self._operator = connect(self._reactor)
+    def __init__(self, create_client: Callable[[Any], HttpOperator]) -> None:
+        self._reactor = _start_reactor()
+        self._client = create_client(self._reactor)
 
     def send(self, order: Order) -> Answer:
         """Send one order and return its answer."""
-        return self._wait_for(lambda: self._operator.send(order))
+        return self._wait_for(lambda: self._client.send(order))
 
-    def progress(self, version: int) -> Progress:
-        """Return how far a configuration version has come."""
-        return self._wait_for(lambda: self._operator.progress(version))
+    def fetch_progress(self, version: int) -> Progress:
+        """Return in which instances a version of the orders is in force."""
+        return self._wait_for(lambda: self._client.fetch_progress(version))
 
     def _wait_for(self, call: Callable[[], Coroutine[Any, Any, _T]]) -> _T:
         return threads.blockingCallFromThread(
@@ -237,8 +243,8 @@
         )
 
 
-def _running_reactor() -> Any:
-    """Return the reactor, running in a background thread."""
+def _start_reactor() -> Any:
+    """Return the reactor, and start it in a background thread unless it runs already."""
     from twisted.internet import reactor
 
     loop = typing.cast(Any, reactor)
--- a/src/carobhook/cli/reference.py
+++ b/src/carobhook/cli/reference.py
@@ -1,4 +1,4 @@
-"""Command that prints the reference pages."""
+"""Command `codes`, which prints the reference of result codes."""
 
 from typing import Annotated
 
--- a/src/carobhook/cli/serve.py
+++ b/src/carobhook/cli/serve.py
@@ -1,4 +1,4 @@
-"""Commands that run one daemon and check its settings."""
+"""Commands `serve` and `check-settings`, which run a daemon and check its settings."""
 
 import pathlib
 from typing import Annotated
@@ -26,7 +26,7 @@
             entry_settings.load(file)
         except settings.SettingsError as group:
             faulty = True
-            _report(file, group)
+            _print_faults(file, group)
         else:
             typer.echo(f"{file}: ok")
     if faulty:
@@ -40,26 +40,26 @@
     in use, and 6 when the start fails otherwise. A store that is out of reach is no reason
     not to start: the daemon keeps trying and says so at /readyz.
     """
-    loaded = _load_or_leave(settings_file)
-    # Imported late, so that check-settings needs no reactor.
+    loaded = _load_or_exit(settings_file)
+    # Imported here, because check-settings needs no reactor.
     from carobhook import entry
 
     entry.run(settings_file, loaded)
 
 
-def _load_or_leave(file: pathlib.Path) -> entry_settings.EntrySettings:
-    """Return the settings of a file.
+def _load_or_exit(file: pathlib.Path) -> entry_settings.EntrySettings:
+    """Return the settings in a file.
 
     Raises:
-        typer.Exit: The file has faults; they have been printed.
+        typer.Exit: The file has faults, which were printed.
     """
     try:
         return entry_settings.load(file)
     except settings.SettingsError as group:
-        _report(file, group)
-        exits.leave(exits.Exit.USAGE)
+        _print_faults(file, group)
+        exits.exit_with(exits.Exit.USAGE)
 
 
-def _report(file: pathlib.Path, group: settings.SettingsError) -> None:
+def _print_faults(file: pathlib.Path, group: settings.SettingsError) -> None:
     for fault in group.exceptions:
         typer.echo(f"{file}: {fault}", err=True)
--- a/src/carobhook/cli/session.py
+++ b/src/carobhook/cli/session.py
@@ -1,4 +1,4 @@
-"""Sends orders to a daemon and prints what came of them."""
+"""Sends operators' orders to a daemon and prints the results."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -9,80 +9,85 @@
 from carobhook.state import codes
 
 _POLL_INTERVAL_S = 0.1
-_LEAVING_WORDS = frozenset({"exit", "quit"})
+_EXIT_COMMANDS = frozenset({"exit", "quit"})
 
 
 @attrs.frozen
 class Session:
-    """Sends orders and prints their answers.
+    """Sends orders and prints their answers and their progress.
 
     Attributes:
-        wait_s: Longest wait for an accepted order to be in force.
-        clock: Monotonic time in seconds.
-        sleep: Waits for some seconds.
+        wait_s: Longest time in seconds to wait until an accepted order is in force.
+        clock: Returns the monotonic time in seconds.
+        sleep: Blocks for a number of seconds.
     """
 
-    _operator: operator.Operator
+    _client: operator.Operator
     _printer: output.Printer
     wait_s: float
     clock: Callable[[], float] = time.monotonic
     sleep: Callable[[float], None] = time.sleep
 
-    def run(self, text: str) -> exits.Exit:
-        """Send one order, print what came of it, and return the exit code."""
+    def run_order(self, text: str) -> exits.Exit:
+        """Send one order, print its result and return the exit code."""
         try:
-            answer = self._operator.send(operator.Order(text))
-            progress = self._follow(answer)
-        except operator.UnreachableError as problem:
-            self._printer.problem(codes.Code.DAEMON_UNREACHABLE, str(problem))
+            answer = self._client.send(operator.Order(text))
+            progress = self._wait_until_in_force(answer)
+        except operator.UnreachableError as error:
+            self._printer.print_error(codes.Code.DAEMON_UNREACHABLE, str(error))
             return exits.Exit.UNREACHABLE
-        except operator.UnexpectedAnswerError as problem:
-            self._printer.problem(codes.Code.DAEMON_UNREACHABLE, str(problem))
+        except operator.UnexpectedAnswerError as error:
+            self._printer.print_error(codes.Code.DAEMON_UNREACHABLE, str(error))
             return exits.Exit.UNREACHABLE
-        self._printer.answer(answer, progress)
-        return _exit_of(answer, progress)
+        self._printer.print_answer(answer, progress)
+        return _exit_code(answer, progress)
 
-    def run_all(self, orders: Iterable[str]) -> exits.Exit:
-        """Send orders until one fails; return the last exit code."""
+    def run_orders(self, orders: Iterable[str]) -> exits.Exit:
+        """Send orders up to the first that fails, and return the exit code of the last one."""
         for text in orders:
-            result = self.run(text)
+            result = self.run_order(text)
             if result is not exits.Exit.OK:
                 return result
         return exits.Exit.OK
 
-    def prompt(self, read: Callable[[], str]) -> exits.Exit:
-        """Send orders as they are typed, until the end of input; return the last exit code.
+    def run_prompt(self, read_line: Callable[[], str]) -> exits.Exit:
+        """Send the orders that a user types until the end of input.
+
+        An interrupt discards only the current line. Returns the exit code of the last order.
 
         Args:
-            read: Returns the next line; raises EOFError at the end of input.
+            read_line: Returns the next line; raises EOFError at the end of input.
         """
         result = exits.Exit.OK
         while True:
             try:
-                text = read().strip()
+                text = read_line().strip()
             except KeyboardInterrupt:
                 continue
             except EOFError:
                 return result
-            if text in _LEAVING_WORDS:
+            if text in _EXIT_COMMANDS:
                 return result
             if text:
-                result = self.run(text)
+                result = self.run_order(text)
+
+    def _wait_until_in_force(self, answer: operator.Answer) -> operator.Progress | None:
+        """Wait until an accepted order is in force in all instances, for at most `wait_s`.
 
-    def _follow(self, answer: operator.Answer) -> operator.Progress | None:
-        """Wait until an accepted order is in force everywhere; return how far it got."""
+        Returns the last progress, or None if the answer does not accept an order.
+        """
         if answer.code != codes.Code.ORDER_ACCEPTED.number or answer.version is None:
             return None
         deadline = self.clock() + self.wait_s
-        progress = self._operator.progress(answer.version)
+        progress = self._client.fetch_progress(answer.version)
         while not progress.complete and self.clock() < deadline:
-            self._printer.waiting(progress)
+            self._printer.show_progress(progress)
             self.sleep(_POLL_INTERVAL_S)
-            progress = self._operator.progress(answer.version)
+            progress = self._client.fetch_progress(answer.version)
         return progress
 
 
-def _exit_of(answer: operator.Answer, progress: operator.Progress | None) -> exits.Exit:
+def _exit_code(answer: operator.Answer, progress: operator.Progress | None) -> exits.Exit:
     if not answer.accepted:
         return exits.Exit.REFUSED
     if progress is not None and not progress.complete:
--- a/src/carobhook/cli/soak.py
+++ b/src/carobhook/cli/soak.py
@@ -1,4 +1,4 @@
-"""The command that soaks real instance processes in faults."""
+"""Command `soak`, which tests instance processes under injected faults."""
 
 import pathlib
 import shutil
@@ -29,7 +29,7 @@
 
     Exit codes: 0 all held, 1 something was broken, which is printed with the seed.
     """
-    # Imported late, so that other commands need no reactor.
+    # Imported here, because other commands need no reactor.
     from twisted.internet import defer, reactor, task
 
     from carobhook.soak import run
@@ -42,7 +42,7 @@
             directory = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
             try:
                 verdict = await run.Soak(reactor, seed, directory, options).run()
-                _tell(verdict)
+                _print_verdict(verdict)
                 if verdict.violations:
                     failed.append(seed)
                     if keep is not None:
@@ -50,7 +50,7 @@
             finally:
                 shutil.rmtree(directory)
 
-    def _tell(verdict: run.Verdict) -> None:
+    def _print_verdict(verdict: run.Verdict) -> None:
         state = "BROKEN" if verdict.violations else "held"
         typer.echo(f"seed {verdict.seed}: {state}, {verdict.served} of {verdict.sent} served")
         if verdict.violations:
@@ -62,9 +62,9 @@
     def _main(_reactor: object) -> defer.Deferred:
         running = defer.ensureDeferred(_run())
         running.addCallback(lambda _: exits.Exit.REFUSED if failed else exits.Exit.OK)
-        return running.addCallback(_leave)
+        return running.addCallback(_exit_with)
 
-    def _leave(code: exits.Exit) -> None:
+    def _exit_with(code: exits.Exit) -> None:
         if code is not exits.Exit.OK:
             raise SystemExit(int(code))
 
--- a/src/carobhook/cli/standin.py
+++ b/src/carobhook/cli/standin.py
@@ -1,4 +1,4 @@
-"""Commands that run stand-ins of the platform, of backend servers and of clients."""
+"""Commands `standin ...`, which run stand-ins of the store, backend servers and clients."""
 
 import json
 import pathlib
@@ -28,7 +28,7 @@
     """Run the platform's store in memory."""
     from twisted.internet import reactor
 
-    from carobhook.cli import running
+    from carobhook.cli import reactor_runner
     from carobhook.platform import names
     from carobhook.standins import memory_store, platform_store
 
@@ -36,8 +36,8 @@
     if config is not None:
         try:
             spec = json.loads(config.read_text("utf-8"))
-        except (OSError, ValueError) as problem:
-            exits.leave(exits.Exit.USAGE, f"error: --config {config}: {problem}")
+        except (OSError, ValueError) as error:
+            exits.exit_with(exits.Exit.USAGE, f"error: --config {config}: {error}")
 
     async def _start() -> None:
         server = platform_store.PlatformStoreServer(reactor, memory_store.MemoryStore())
@@ -45,7 +45,7 @@
         if spec is not None:
             server.put(names.CONFIG_KIND, names.CONFIG_NAME, spec)
 
-    running.until_stopped(reactor, _start)
+    reactor_runner.run_until_stopped(reactor, _start)
 
 
 @app.command(name="servers")
@@ -62,20 +62,20 @@
     """Run backend servers that enter themselves into the store."""
     from twisted.internet import reactor
 
-    from carobhook.cli import running
+    from carobhook.cli import reactor_runner
     from carobhook.platform import store as platform_store
     from carobhook.standins import service_group
 
     try:
         plans = service_group.read_plans(file)
-    except (OSError, ValueError) as problem:
-        exits.leave(exits.Exit.USAGE, f"error: --file {file}: {problem}")
+    except (OSError, ValueError) as error:
+        exits.exit_with(exits.Exit.USAGE, f"error: --file {file}: {error}")
 
     async def _start() -> None:
         client = platform_store.PlatformStore(reactor, store_address, 2.0)
         await service_group.ServiceGroup(reactor, client).start(plans)
 
-    running.until_stopped(reactor, _start)
+    reactor_runner.run_until_stopped(reactor, _start)
 
 
 @app.command(name="clients")
@@ -87,7 +87,7 @@
     host: Annotated[str, typer.Option("--host", help="Host of the requests.")],
     repeatable: Annotated[
         list[str], typer.Option("--repeatable", help="Path prefix; may be repeated.")
-    ] = [],  # noqa: B006 - typer takes a default list as it is.
+    ] = [],  # noqa: B006 - the default is never changed.
     once: Annotated[
         list[str],
         typer.Option("--once", help="Path prefix of what may run once; may be repeated."),
@@ -106,7 +106,7 @@
     plans = [platform_client.RequestPlan(host, prefix) for prefix in repeatable]
     plans += [platform_client.RequestPlan(host, prefix, repeatable=False) for prefix in once]
     if not plans:
-        exits.leave(exits.Exit.USAGE, "error: give --repeatable or --once at least once")
+        exits.exit_with(exits.Exit.USAGE, "error: give --repeatable or --once at least once")
     client = platform_client.PlatformClient(
         reactor, directory, region, failure_domain, random.Random(seed)
     )
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -26,7 +26,7 @@
 
 
 def start(*arguments, **env):
-    """Start a command in a process of its own."""
+    """Start a command in a separate process and return the process."""
     path = os.pathsep.join(sys.path)
     return subprocess.Popen(
         [sys.executable, "-m", "carobhook", *map(str, arguments)],
@@ -39,7 +39,10 @@
 
 
 def finish(process):
-    """Return exit code, output and complaints of a process, and never leave it running."""
+    """Return the exit code, standard output and standard error of a process.
+
+    A process that does not end in time is killed.
+    """
     try:
         out, err = process.communicate(timeout=_TIMEOUT_S)
     finally:
@@ -48,7 +51,10 @@
 
 
 def free_ports():
-    """Return ports of a demo, below the ephemeral ones, whose first ones are free."""
+    """Return ports for a demo, of which the first of each group is free.
+
+    They are below the ephemeral ports, which the system may assign to other connections.
+    """
     while True:
         base = random.SystemRandom().randrange(12_000, 32_000, 500)
         ports = demo.Ports.starting_at(base)
@@ -60,32 +66,35 @@
 
 @pytest.fixture
 def layout(tmp_path):
-    """Write a demo whose first instance has free ports; return its layout and directory."""
-    made = demo.Layout(free_ports(), token="t" * 20, peer_key="k" * 20)
-    demo.write(made, tmp_path)
-    return made, tmp_path
+    """Write the files of a demo with free ports for its first instance.
+
+    Returns the layout and the directory.
+    """
+    demo_layout = demo.Layout(free_ports(), token="t" * 20, peer_key="k" * 20)
+    demo.write(demo_layout, tmp_path)
+    return demo_layout, tmp_path
 
 
 class TestReference:
-    """Commands that only print."""
+    """The commands version and codes, and the help texts."""
 
     def test_version(self):
-        """The version is the package's."""
+        """The command prints the version of the package."""
         assert invoke("version").stdout == f"{carobhook.__version__}\n"
 
-    def test_codes_in_markdown_are_the_reference_page(self):
-        """The page of result codes can be printed."""
+    def test_codes_in_markdown_equal_the_reference_page(self):
+        """The command prints the page of result codes."""
         assert invoke("codes", "--markdown").stdout == reference.codes_page()
 
-    def test_codes_lists_every_number(self):
-        """The table for people has a row for each code."""
+    def test_codes_lists_numbers_and_names(self):
+        """The table contains result codes by number and name."""
         shown = invoke("codes", env={"COLUMNS": "200"}).stdout
 
         assert "1013" in shown and "deadline-passed-queued" in shown
 
     @pytest.mark.parametrize("command", ["serve", "check-settings", "ctl", "demo", "standin"])
-    def test_help_says_what_a_command_does(self, command):
-        """Every command explains itself."""
+    def test_help_describes_each_command(self, command):
+        """Each command has a help text of several lines."""
         result = invoke(command, "--help")
 
         assert result.exit_code == 0
@@ -95,8 +104,8 @@
 class TestCheckSettings:
     """The command check-settings."""
 
-    def test_examples_are_right(self):
-        """The example files have no faults."""
+    def test_examples_are_valid(self):
+        """The settings files in examples/ have no faults."""
         files = [_EXAMPLES / "zema.toml", _EXAMPLES / "tarnok.toml"]
 
         result = invoke("check-settings", *files)
@@ -104,8 +113,8 @@
         assert result.exit_code == 0
         assert result.stdout == "".join(f"{file}: ok\n" for file in files)
 
-    def test_each_fault_is_one_line(self, tmp_path):
-        """A file with faults gives one line for each and exit code 2."""
+    def test_each_fault_has_one_line(self, tmp_path):
+        """Each fault in a file is reported on one line, and the exit code is 2."""
         path = tmp_path / "bad.toml"
         text = (_EXAMPLES / "zema.toml").read_text("utf-8")
         path.write_text(text.replace("ttl_max =", "ttl_mx =").replace("info", "loud"))
@@ -122,18 +131,18 @@
 class TestServe:
     """The command serve."""
 
-    def test_faulty_settings_end_with_one_line_each(self, tmp_path):
-        """A daemon with faulty settings does not start."""
+    def test_missing_settings_file_has_one_line(self, tmp_path):
+        """A daemon without a readable settings file does not start."""
         result = invoke("serve", "--settings", tmp_path / "missing.toml")
 
         assert result.exit_code == 2
         assert result.stderr.count("\n") == 1
 
     @pytest.mark.parametrize("key", ["http", "peers", "operators"])
-    def test_address_in_use_ends_with_one_line(self, layout, key):
-        """A port in use gives exit code 5, the address and no traceback."""
-        made, directory = layout
-        file = demo.settings_path(directory, made.instances[0][0])
+    def test_address_in_use_has_one_line(self, layout, key):
+        """A port in use gives exit code 5 and a line with the address, without a traceback."""
+        demo_layout, directory = layout
+        file = demo.settings_path(directory, demo_layout.instances[0][0])
         host, _, port = getattr(entry_settings.load(file).place, key).rpartition(":")
         with socket.create_server((host, int(port))):
             code, _out, err = finish(start("serve", "--settings", file))
@@ -141,10 +150,10 @@
         assert code == 5
         assert err == f"error 3002: cannot listen on {host}:{port}: Address already in use\n"
 
-    def test_daemon_without_store_starts_and_stops_on_sigterm(self, layout):
-        """A store out of reach keeps a daemon unready, not down; SIGTERM ends it with 0."""
-        made, directory = layout
-        file = demo.settings_path(directory, made.instances[0][0])
+    def test_daemon_without_store_runs_until_sigterm(self, layout):
+        """A daemon starts while the store is unreachable; SIGTERM ends it with exit code 0."""
+        demo_layout, directory = layout
+        file = demo.settings_path(directory, demo_layout.instances[0][0])
         process = start("serve", "--settings", file)
         line = process.stdout.readline()
         while "instance-started" not in line:
@@ -158,10 +167,10 @@
 
 
 class TestCtl:
-    """The command ctl, as far as it needs no daemon."""
+    """The command ctl without a daemon."""
 
     @pytest.mark.parametrize(
-        ("arguments", "env", "complaint"),
+        ("arguments", "env", "message"),
         [
             (["show", "regions"], {}, "error: no token"),
             (["show"], {"CAROBHOOK_TOKEN": "f\u00f6"}, "must be printable ASCII"),
@@ -172,16 +181,16 @@
             (["--ca-file", "no/such", "show"], {"CAROBHOOK_TOKEN": "t"}, "--ca-file no/such"),
         ],
     )
-    def test_bad_usage_is_one_line(self, arguments, env, complaint):
-        """Wrong options end with exit code 2 and one line."""
+    def test_bad_usage_has_one_line(self, arguments, env, message):
+        """Invalid options give exit code 2 and one line."""
         result = invoke("ctl", *arguments, env={"CAROBHOOK_TOKEN": None, **env})
 
         assert result.exit_code == 2
-        assert complaint in result.stderr
+        assert message in result.stderr
         assert result.stderr.count("\n") == 1
 
-    def test_unreachable_daemon_is_one_line(self):
-        """Without a daemon, ctl ends with exit code 3 and one line."""
+    def test_unreachable_daemon_has_one_line(self):
+        """Without a daemon, ctl gives exit code 3 and one line."""
         with socket.socket() as closed:
             closed.bind(("127.0.0.1", 0))
             address = f"127.0.0.1:{closed.getsockname()[1]}"
@@ -195,12 +204,12 @@
 
 
 class TestStandin:
-    """The stand-ins' commands."""
+    """The command standin."""
 
-    def test_port_in_use_is_one_line(self):
-        """A stand-in on a port in use ends with exit code 5 and one line."""
-        with socket.create_server(("127.0.0.1", 0)) as taken:
-            port = taken.getsockname()[1]
+    def test_port_in_use_has_one_line(self):
+        """A stand-in whose port is in use gives exit code 5 and one line."""
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            port = listener.getsockname()[1]
             code, _out, err = finish(start("standin", "store", "--port", port))
 
         assert code == 5
@@ -210,8 +219,8 @@
 class TestDemo:
     """The command demo."""
 
-    def test_files_of_the_demo_are_right(self, tmp_path):
-        """Nine settings files without faults, private to their owner, and a token."""
+    def test_written_files_are_valid_and_private(self, tmp_path):
+        """The settings files and the token are valid, and only their owner can read them."""
         result = invoke("demo", "--write", tmp_path / "demo", "--base-port", 30_000)
 
         assert result.exit_code == 0
@@ -225,8 +234,8 @@
         assert loaded[0].security.operators == {"demo": demo.token_hash(token)}
         assert {file.stat().st_mode & 0o777 for file in (*files, token_file)} == {0o600}
 
-    def test_directory_that_cannot_be_written_is_one_line(self, tmp_path):
-        """A file in the way of the directory ends with exit code 2."""
+    def test_unwritable_directory_has_one_line(self, tmp_path):
+        """If the directory is an existing file, the exit code is 2 and there is one line."""
         blocked = tmp_path / "file"
         blocked.write_text("")
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -12,17 +12,20 @@
 
 
 class ScriptedPort:
-    """Answers orders by script; a None in the script cuts the connection."""
+    """Operator port that answers orders from a script.
+
+    An entry of None closes the connection without an answer.
+    """
 
     def __init__(self, script):
         self.script = list(script)
-        self.seen = []
+        self.received_orders = []
         self.listener = client_connections.ClientListener(
             reactor, self.handle, routing.ClientLimits, 16, 1024 * 1024
         )
 
     def handle(self, inbound, answer):
-        """Answer with the next entry of the script, or how far a version is in force."""
+        """Answer an order with the next entry, and other requests with a fixed progress."""
         if inbound.head.method == b"GET":
             version = int(inbound.head.target.rpartition(b"/")[2])
             state = {
@@ -34,19 +37,21 @@
             }
             answer(http1.Response(200, b"OK", (), json.dumps(state).encode()))
             return
-        self.seen.append((inbound.head.get("authorization"), json.loads(inbound.body)))
-        given = self.script.pop(0)
-        if given is None:
+        self.received_orders.append(
+            (inbound.head.get("authorization"), json.loads(inbound.body))
+        )
+        response_body = self.script.pop(0)
+        if response_body is None:
             self.listener.abort()
         else:
-            answer(http1.Response(200, b"OK", (), given))
+            answer(http1.Response(200, b"OK", (), response_body))
 
 
 class OperatorCase(unittest.TestCase):
-    """Base of cases with one scripted port."""
+    """Base of test cases with one scripted port."""
 
     def connect(self, *script):
-        """Start a port with a script and return a client of it."""
+        """Start a port with a script and return a client for it."""
         self.scripted = ScriptedPort(script)
         port = reactor.listenTCP(0, self.scripted.listener, interface="127.0.0.1")
         self.addCleanup(port.stopListening)
@@ -55,10 +60,10 @@
 
 
 class TestSend(OperatorCase):
-    """Orders."""
+    """Sending orders."""
 
     async def test_order_carries_token_and_id(self):
-        """The token goes into the header, and id and text into the body."""
+        """The header contains the token, and the body the id and the text."""
         client = self.connect(b'{"code": 2002, "text": "", "columns": ["a"], "rows": [[1]]}')
         order = operator.Order("show regions")
 
@@ -66,27 +71,27 @@
 
         assert answer == operator.Answer(2002, "", None, ["a"], [[1]])
         expected = {"id": order.id, "text": "show regions"}
-        assert self.scripted.seen == [("Bearer secret", expected)]
+        assert self.scripted.received_orders == [("Bearer secret", expected)]
 
-    async def test_order_whose_answer_is_lost_is_sent_again_with_its_id(self):
-        """A repeat is the same order."""
+    async def test_order_without_an_answer_is_repeated_with_its_id(self):
+        """Both attempts have the same id, so that the daemon applies the order once."""
         client = self.connect(None, b'{"code": 2001, "text": "", "version": 3}')
 
         answer = await client.send(operator.Order("shift"))
 
         assert answer.version == 3
-        ids = [body["id"] for _token, body in self.scripted.seen]
+        ids = [body["id"] for _token, body in self.scripted.received_orders]
         assert len(ids) == 2 and len(set(ids)) == 1
 
-    async def test_answer_of_something_else_is_told_apart(self):
-        """A body that is no answer to an order is reported as such."""
+    async def test_body_that_is_no_answer_raises(self):
+        """A server that is no daemon causes an UnexpectedAnswerError."""
         client = self.connect(b"<html>hello</html>")
 
         with self.assertRaises(operator.UnexpectedAnswerError):
             await client.send(operator.Order("show regions"))
 
     async def test_no_daemon_is_reported_with_its_address(self):
-        """A closed port gives the address and the reason."""
+        """The error for a closed port contains the address and the reason."""
         closed = reactor.listenTCP(0, protocol.Factory(), interface="127.0.0.1")
         address = f"127.0.0.1:{closed.getHost().port}"
         await closed.stopListening()
@@ -98,13 +103,13 @@
 
 
 class TestProgress(OperatorCase):
-    """How far a version has come."""
+    """Progress of a version."""
 
-    async def test_progress_is_typed(self):
-        """The answer's fields are read."""
+    async def test_progress_is_decoded(self):
+        """The fields of the JSON object are decoded into a progress."""
         client = self.connect()
 
-        progress = await client.progress(7)
+        progress = await client.fetch_progress(7)
 
         assert progress == operator.Progress(7, 1, 2, ["b"], 1.5)
         assert not progress.complete
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -1,4 +1,4 @@
-"""Tests of carobhook.cli.session: orders, progress and exit codes, with a made-up daemon."""
+"""Tests of carobhook.cli.session: orders, progress and exit codes, with a fake daemon."""
 
 import json
 
@@ -19,13 +19,13 @@
 
 
 def progress(in_force):
-    """Return the progress of version 4 in three instances."""
+    """Return a progress of version 4, in force in some of three instances."""
     missing = ["c", "b", "a"][: 3 - in_force]
     return operator.Progress(4, in_force, 3, missing, 0.25 * in_force)
 
 
-class FakeOperator:
-    """Gives prepared answers; an exception among them is raised."""
+class FakeClient:
+    """Returns prepared answers, and raises those that are exceptions."""
 
     def __init__(self, answers, progresses=()):
         self.answers = list(answers)
@@ -40,13 +40,13 @@
             raise answer
         return answer
 
-    def progress(self, version):
-        """Return the next progress; the last one stays."""
+    def fetch_progress(self, version):
+        """Return the next prepared progress, and the last one repeatedly."""
         return self.progresses.pop(0) if len(self.progresses) > 1 else self.progresses[0]
 
 
 class FakeClock:
-    """Time that moves only in sleeps."""
+    """Clock whose time advances only in sleeps."""
 
     def __init__(self):
         self.now = 0.0
@@ -56,12 +56,12 @@
         return self.now
 
     def sleep(self, seconds):
-        """Let time pass."""
+        """Advance the time."""
         self.now += seconds
 
 
 def make_session(fake, printer=None, wait_s=1.0):
-    """Return a session with made-up time."""
+    """Return a session with a fake clock."""
     clock = FakeClock()
     return session.Session(
         fake, printer or output.JsonPrinter(), wait_s, clock.read, clock.sleep
@@ -82,51 +82,51 @@
             (operator.UnexpectedAnswerError("odd"), [], exits.Exit.UNREACHABLE),
         ],
     )
-    def test_exit_code_says_what_came_of_it(self, answer, progresses, code):
-        """Each outcome has its documented exit code."""
-        assert make_session(FakeOperator([answer], progresses)).run("an order") is code
+    def test_exit_code_for_each_result(self, answer, progresses, code):
+        """Each result of an order has its documented exit code."""
+        assert make_session(FakeClient([answer], progresses)).run_order("an order") is code
 
-    def test_accepted_order_is_followed_until_it_is_in_force(self, capsys):
-        """People read in how many instances the order is in force, and after how long."""
-        fake = FakeOperator([_ACCEPTED], [progress(0), progress(1), progress(3)])
+    def test_session_waits_until_an_order_is_in_force(self, capsys):
+        """The last line has the number of instances and the time that it took."""
+        fake = FakeClient([_ACCEPTED], [progress(0), progress(1), progress(3)])
 
-        make_session(fake, output.TablePrinter()).run("shift")
+        make_session(fake, output.TablePrinter()).run_order("shift")
 
         assert capsys.readouterr().out == (
             "accepted as version 4\nversion 4: in force in 3 of 3 instances after 0.8 s\n"
         )
 
-    def test_order_not_in_force_in_time_names_the_missing(self, capsys):
-        """When the wait is over, people read how far the order got."""
-        fake = FakeOperator([_ACCEPTED], [progress(1)])
+    def test_missing_instances_are_listed_after_the_wait(self, capsys):
+        """When the wait ends first, the line lists the instances without the order."""
+        fake = FakeClient([_ACCEPTED], [progress(1)])
 
-        make_session(fake, output.TablePrinter()).run("shift")
+        make_session(fake, output.TablePrinter()).run_order("shift")
 
         assert capsys.readouterr().err == (
             "version 4: in force in 1 of 3 instances after 0.2 s; not yet in c, b\n"
         )
 
-    def test_table_is_not_cut_in_a_pipe(self, capsys):
-        """A pipe gets whole cells."""
-        make_session(FakeOperator([_TABLE]), output.TablePrinter()).run("show servers")
+    def test_table_in_a_pipe_has_whole_cells(self, capsys):
+        """A long cell is not broken into lines if the output is no terminal."""
+        make_session(FakeClient([_TABLE]), output.TablePrinter()).run_order("show servers")
 
         out = capsys.readouterr().out
         assert "a-very-long-name-of-a-server" in out and "0.5" in out
 
-    def test_markup_in_an_answer_is_shown_as_it_is(self, capsys):
-        """Square brackets of names and texts are not taken for styles."""
+    def test_markup_in_an_answer_is_printed_literally(self, capsys):
+        """Square brackets in names and texts are not parsed as styles."""
         answer = operator.Answer(
             codes.Code.QUERY_OK.number, "", None, ["[red]x"], [["[bold]y"]]
         )
 
-        make_session(FakeOperator([answer]), output.TablePrinter()).run("show")
+        make_session(FakeClient([answer]), output.TablePrinter()).run_order("show")
 
         out = capsys.readouterr().out
         assert "[red]x" in out and "[bold]y" in out
 
-    def test_programs_get_one_object_a_line(self, capsys):
-        """JSON output holds the answer and its progress."""
-        make_session(FakeOperator([_ACCEPTED], [progress(3)])).run("shift")
+    def test_json_output_contains_answer_and_progress(self, capsys):
+        """The JSON object has the fields of the answer and the progress."""
+        make_session(FakeClient([_ACCEPTED], [progress(3)])).run_order("shift")
 
         found = json.loads(capsys.readouterr().out)
         assert found["code"] == 2001
@@ -136,11 +136,11 @@
 class TestRunAll:
     """Several orders."""
 
-    def test_orders_stop_at_the_first_that_fails(self):
-        """What follows a refused order is not sent."""
-        fake = FakeOperator([_TABLE, _REFUSED, _TABLE])
+    def test_run_stops_at_the_first_failed_order(self):
+        """Orders after a refused one are not sent."""
+        fake = FakeClient([_TABLE, _REFUSED, _TABLE])
 
-        result = make_session(fake).run_all(["one", "two", "three"])
+        result = make_session(fake).run_orders(["one", "two", "three"])
 
         assert result is exits.Exit.REFUSED
         assert [order.text for order in fake.orders] == ["one", "two"]
@@ -148,21 +148,21 @@
 
 
 class TestPrompt:
-    """Orders typed one after another."""
+    """Orders from a prompt."""
 
-    def test_prompt_goes_on_after_a_refusal(self):
-        """A refused order does not end the prompt; quit does, with the last exit code."""
-        fake = FakeOperator([_REFUSED, _TABLE])
+    def test_prompt_continues_after_a_refusal(self):
+        """A refused order does not end the prompt, but quit does, with the last exit code."""
+        fake = FakeClient([_REFUSED, _TABLE])
         lines = iter(["one", "", "two", "quit"])
 
-        assert make_session(fake).prompt(lambda: next(lines)) is exits.Exit.OK
+        assert make_session(fake).run_prompt(lambda: next(lines)) is exits.Exit.OK
         assert [order.text for order in fake.orders] == ["one", "two"]
 
     def test_end_of_input_ends_the_prompt(self):
-        """The end of the input ends the prompt, and an interrupt only the line."""
+        """An interrupt discards only the line; the end of input ends the prompt."""
         events = iter([KeyboardInterrupt(), EOFError()])
 
-        def read():
+        def read_line():
             raise next(events)
 
-        assert make_session(FakeOperator([])).prompt(read) is exits.Exit.OK
+        assert make_session(FakeClient([])).run_prompt(read_line) is exits.Exit.OK
