--- a/src/carobhook/cli/ctl.py
+++ b/src/carobhook/cli/ctl.py
@@ -105,8 +105,8 @@
     from carobhook.cli import operator, output, session
 
     printer = output.JsonPrinter() if as_json else output.TablePrinter()
-    client = operator.BlockingOperator(
-        lambda reactor: operator.HttpOperator(reactor, address, token, ca_file)
+    client = operator.BlockingOperatorClient(
+        lambda reactor: operator.HttpOperatorClient(reactor, address, token, ca_file)
     )
     return session.Session(client, printer, wait_s)
 
--- a/src/carobhook/cli/operator.py
+++ b/src/carobhook/cli/operator.py
@@ -106,7 +106,7 @@
 )
 
 
-class Operator(typing.Protocol):
+class OperatorClient(typing.Protocol):
     """Sends orders to a daemon and waits for the answers."""
 
     def send(self, order: Order) -> Answer:
@@ -116,7 +116,7 @@
         """Return in which instances a version of the orders is in force."""
 
 
-class HttpOperator:
+class HttpOperatorClient:
     """Sends orders to a daemon's operator port over HTTP.
 
     Args:
@@ -218,14 +218,14 @@
     return reasons[0].getErrorMessage()
 
 
-class BlockingOperator:
-    """Makes blocking calls to an `HttpOperator`, whose reactor runs in another thread.
+class BlockingOperatorClient:
+    """Makes blocking calls to an `HttpOperatorClient`, whose reactor runs in another thread.
 
     Args:
         create_client: Returns the client for a reactor.
     """
 
-    def __init__(self, create_client: Callable[[Any], HttpOperator]) -> None:
+    def __init__(self, create_client: Callable[[Any], HttpOperatorClient]) -> None:
         self._reactor = _start_reactor()
         self._client = create_client(self._reactor)
 
--- a/src/carobhook/cli/session.py
+++ b/src/carobhook/cli/session.py
@@ -22,7 +22,7 @@
         sleep: Blocks for a number of seconds.
     """
 
-    _client: operator.Operator
+    _client: operator.OperatorClient
     _printer: output.Printer
     wait_s: float
     clock: Callable[[], float] = time.monotonic
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -56,7 +56,9 @@
         port = reactor.listenTCP(0, self.scripted.listener, interface="127.0.0.1")
         self.addCleanup(port.stopListening)
         self.addCleanup(self.scripted.listener.abort)
-        return operator.HttpOperator(reactor, f"127.0.0.1:{port.getHost().port}", "secret")
+        return operator.HttpOperatorClient(
+            reactor, f"127.0.0.1:{port.getHost().port}", "secret"
+        )
 
 
 class TestSend(OperatorCase):
@@ -95,7 +97,7 @@
         closed = reactor.listenTCP(0, protocol.Factory(), interface="127.0.0.1")
         address = f"127.0.0.1:{closed.getHost().port}"
         await closed.stopListening()
-        client = operator.HttpOperator(reactor, address, "secret")
+        client = operator.HttpOperatorClient(reactor, address, "secret")
 
         with self.assertRaises(operator.UnreachableError) as caught:
             await client.send(operator.Order("show regions"))
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -163,8 +163,8 @@
         port = sockets.listen(reactor, "127.0.0.1", 0, listener, context)
         self.addCleanup(port.stopListening)
         address = f"127.0.0.1:{port.getHost().port}"
-        trusting = operator.HttpOperator(reactor, address, "t", pathlib.Path(files.ca))
-        doubting = operator.HttpOperator(reactor, address, "t", pathlib.Path(other.ca))
+        trusting = operator.HttpOperatorClient(reactor, address, "t", pathlib.Path(files.ca))
+        doubting = operator.HttpOperatorClient(reactor, address, "t", pathlib.Path(other.ca))
 
         answer = await trusting.send(operator.Order("show regions"))
         with self.assertRaises(operator.UnreachableError):
