--- a/src/carobhook/transport/client_connections.py
+++ b/src/carobhook/transport/client_connections.py
@@ -11,10 +11,11 @@
 from carobhook.protocol import http1
 from carobhook.state import routing
 
-# Reading pauses when more than this is buffered of requests that a client has pipelined.
+# Reading from a client pauses when its buffered pipelined requests exceed this size. Otherwise,
+# the buffer would grow as fast as the client sends.
 _MAX_PIPELINED_BYTES = 64 * 1024
-# Delay before a connection is closed after an error response. Closing it with unread data
-# resets it, and a client that has not read the response by then loses it.
+# Delay before a connection is closed after an error response. Closing a connection that has
+# unread data resets it, and a client that has not read the response yet then never gets it.
 _LINGER_S = 1.0
 _REASONS = {
     400: b"Bad Request",
@@ -37,7 +38,7 @@
         head: Request line and headers.
         body: Request body.
         client: Address of the client's host.
-        received_at: Monotonic time in seconds at which its head was complete.
+        received_at: Monotonic time in seconds at which the head was complete.
     """
 
     head: http1.RequestHead
@@ -83,17 +84,17 @@
         self._body_size = 0
         self._received_at = 0.0
         self._active_request: ActiveRequest | None = None
-        self._busy = False
+        self._awaiting_response = False
         self._closing = False
         self._timer: typing.Any = None
-        self._reading_head = False
+        self._head_timer_started = False
         self._response_has_body = True
         self._close_requested = False
 
     @property
     def is_idle(self) -> bool:
         """Return whether no request is being read or handled."""
-        return not self._busy and self._parser is None and not self._buffer
+        return not self._awaiting_response and self._parser is None and not self._buffer
 
     def connectionMade(self) -> None:
         """Register the connection and start its idle timer."""
@@ -102,7 +103,7 @@
         self._start_timer(self._listener.limits().idle_timeout_s)
 
     def connectionLost(self, reason: typing.Any = protocol.connectionDone) -> None:
-        """Remove the connection and report to the handler of its request that it was closed."""
+        """Remove the connection, and report the disconnect to its active request."""
         self._stop_timer()
         self._release_body()
         self._listener.remove_connection(self)
@@ -118,7 +119,7 @@
             self._parse(data)
             return
         self._buffer += data
-        if self._busy:
+        if self._awaiting_response:
             if len(self._buffer) > _MAX_PIPELINED_BYTES:
                 self.transport.pauseProducing()
             return
@@ -151,8 +152,8 @@
         if not head_size:
             if b"\n" in self._buffer and b"\r\n" not in self._buffer:
                 self._reject(400, "line ends must be CR LF")
-            elif not self._reading_head:
-                self._start_timer(limits.header_timeout_s, in_head=True)
+            elif not self._head_timer_started:
+                self._start_timer(limits.header_timeout_s, for_head=True)
             return
         data = bytes(self._buffer)
         self._buffer.clear()
@@ -213,7 +214,7 @@
         self._buffer += parser.trailing_data[0]
         self._parser = None
         self._stop_timer()
-        self._busy = True
+        self._awaiting_response = True
         head = typing.cast(http1.RequestHead, self._head)
         peer = self.transport.getPeer()
         request = ClientRequest(
@@ -221,16 +222,19 @@
         )
         self._body_chunks.clear()
         self._response_has_body = head.method != b"HEAD"
-        self._close_requested = _requests_close(head, parser.their_http_version)
+        self._close_requested = _is_close_requested(head, parser.their_http_version)
         active_request = self._listener.handler(request, self._respond)
-        if self._busy:
+        if self._awaiting_response:
             self._active_request = active_request
 
     def _respond(self, response: http1.Response) -> None:
-        """Write the response to the current request; later calls for it are ignored."""
-        if not self._busy or self.transport is None or not self.connected:
+        """Write the response to the current request.
+
+        Nothing is written if there is no such request or the connection is closed.
+        """
+        if not self._awaiting_response or self.transport is None or not self.connected:
             return
-        self._busy = False
+        self._awaiting_response = False
         self._active_request = None
         self._release_body()
         close = self._close_requested or self._listener.closes_after_response
@@ -245,11 +249,16 @@
             self._reactor.callLater(0, self._read_buffered)
 
     def _read_buffered(self) -> None:
-        if self.connected and not self._busy and self._parser is None and not self._closing:
+        if (
+            self.connected
+            and not self._awaiting_response
+            and self._parser is None
+            and not self._closing
+        ):
             self._read_head()
 
     def _reject(self, status: int, text: str, retry: bool = False) -> None:
-        """Respond to a request that was not read completely, and close the connection."""
+        """Reject a request that was not read completely, and close the connection."""
         self._closing = True
         self._parser = None
         self._release_body()
@@ -265,9 +274,9 @@
         self._listener.release_body(self._body_size)
         self._body_size = 0
 
-    def _start_timer(self, delay_s: float, in_head: bool = False) -> None:
+    def _start_timer(self, delay_s: float, for_head: bool = False) -> None:
         self._stop_timer()
-        self._reading_head = in_head
+        self._head_timer_started = for_head
         self._timer = self._reactor.callLater(delay_s, self._on_timeout)
 
     def _stop_timer(self) -> None:
@@ -282,7 +291,8 @@
             self._reject(408, "the request did not arrive in time")
 
 
-def _requests_close(head: http1.RequestHead, version: bytes | None) -> bool:
+def _is_close_requested(head: http1.RequestHead, version: bytes | None) -> bool:
+    """Return whether the client wants the connection closed after the response."""
     tokens = {token.strip().lower() for token in (head.get("connection") or "").split(",")}
     if version == b"1.0":
         return "keep-alive" not in tokens
@@ -301,6 +311,7 @@
 
     Attributes:
         closes_after_response: Whether connections are closed after their next response.
+        body_timeout_s: Maximum number of seconds from the head of a request to its end.
     """
 
     noisy = False
@@ -344,7 +355,7 @@
         self._connections.discard(connection)
 
     def reserve_body(self, size: int) -> bool:
-        """Reserve memory for a part of a request body; return whether the limit allows it."""
+        """Reserve memory for a part of a request body; return False if the limit forbids it."""
         if self._buffered_bytes + size > self._max_buffered_bytes:
             return False
         self._buffered_bytes += size
--- a/src/carobhook/transport/entry_endpoints.py
+++ b/src/carobhook/transport/entry_endpoints.py
@@ -10,6 +10,8 @@
 from carobhook.transport import client_connections
 
 METRICS_PATH = b"/metrics"
+# Maximum time for which clients may cache a response to a directory lookup. Clients connect to
+# the cached addresses, so an instance that stops must accept connections for longer than this.
 DIRECTORY_TTL_S = 2.0
 _MAX_ADDRESSES = 64
 
@@ -24,8 +26,8 @@
         known_members: Instances that this instance knows.
         metrics: Counters and histograms.
         is_ready: Returns whether this instance accepts requests of clients.
-        ttl_max_s: Returns the maximum number of seconds that clients may cache a response to a
-            directory lookup.
+        ttl_max_s: Returns the configured upper limit, in seconds, on how long clients may cache
+            a response to a directory lookup.
     """
 
     def __init__(
@@ -61,9 +63,9 @@
     def handle_directory(
         self, request: client_connections.ClientRequest, respond: _Responder
     ) -> None:
-        """Respond to a directory lookup in the format of the platform or of the client API.
+        """Respond to a directory lookup of the platform or of the client API.
 
-        The path of the lookup determines the format.
+        The path of the lookup determines the format of the query and of the response.
         """
         target = request.head.target
         encode = requests.encode_directory_response
@@ -81,7 +83,12 @@
         respond(response)
 
     def _addresses(self, lookup: client_api.Lookup, client: str) -> list[str]:
-        """Return the addresses of the instances that a client should use."""
+        """Return the addresses of the instances that a client should use.
+
+        Args:
+            lookup: The client's region and failure domain.
+            client: Address of the client's host.
+        """
         now = self._reactor.seconds()
         serving = self._known_members.serving(now)
         nearest = directory.nearest(serving, lookup.region, lookup.failure_domain)
--- a/src/carobhook/transport/entry_requests.py
+++ b/src/carobhook/transport/entry_requests.py
@@ -1,4 +1,4 @@
-"""Handles the requests of clients: routes or refuses, runs, counts and logs them."""
+"""Handles the requests of clients: routes, runs or refuses them, and records the outcomes."""
 
 import secrets
 import typing
@@ -18,6 +18,7 @@
     slot_allocator,
 )
 
+# Time after which a client may repeat a quarantined request, sent as Retry-After.
 _QUARANTINE_RETRY_S = 10.0
 
 Responder = Callable[[http1.Response], None]
@@ -25,7 +26,7 @@
 
 @attrs.frozen
 class RequestContext:
-    """Parts of an instance that the handling of requests uses.
+    """Components of the instance that `EntryRequests` uses.
 
     Attributes:
         server_catalog: Servers and configuration.
@@ -53,7 +54,7 @@
         region: Region of this instance.
         domain: Failure domain of this instance.
         incarnation: Id of this run of the instance.
-        context: Parts of the instance that the handling uses.
+        context: Components of the instance that this class uses.
     """
 
     def __init__(
@@ -83,14 +84,16 @@
     def handle(
         self, request: client_connections.ClientRequest, respond: Responder
     ) -> client_connections.ActiveRequest | None:
-        """Handle a request and respond to it exactly once, now or later.
+        """Handle a request and respond to it once, now or later.
+
+        There is no response if the client disconnects first.
 
         Args:
             request: The request.
             respond: Sends the response to the client.
 
         Returns:
-            The running request, or None if it was refused at once.
+            The started request, or None if it was refused at once.
         """
         try:
             call = client_api.parse_service_call(request.head)
@@ -119,10 +122,10 @@
         return flow
 
     def apply_mark(self, message: slot_messages.RequestMarked) -> None:
-        """Add the mark of a request that broke a server's connection at another instance.
+        """Add another instance's mark of a request that broke a server's connection.
 
-        A mark that is new here is forwarded, because not every instance has a stream to every
-        other.
+        A new mark is forwarded, because not every instance has a stream to every other. A known
+        one is not, or instances would forward it to each other without end.
         """
         expires_at = self._reactor.seconds() + message.remaining_ms / 1000
         mark = poison.Mark(message.fingerprint, message.name, message.source, expires_at)
@@ -132,8 +135,9 @@
     def apply_clearing(self, message: slot_messages.RequestCleared) -> None:
         """Clear the marks of a request that was answered at another instance.
 
-        The message is forwarded if there were any, because not every instance has a stream to
-        every other.
+        If there were marks, the message is forwarded, because not every instance has a stream
+        to every other. Otherwise it is not, or instances would forward it to each other without
+        end.
         """
         if self._quarantine.clear(message.fingerprint):
             self._context.broadcast(message)
@@ -197,7 +201,7 @@
         return flow
 
     def _record_outcome(self, outcome: request_flow.RequestOutcome) -> None:
-        """Record the outcome of a request in the metrics and the log."""
+        """Record an outcome in metrics and log; clear the marks of an answered request."""
         accepted, refusal = outcome.accepted, outcome.refusal
         if refusal is None:
             self._clear_marks(accepted)
@@ -235,7 +239,7 @@
         return self._quarantine.is_quarantined(_fingerprint(request), self._reactor.seconds())
 
     def _mark_broken(self, accepted: request_flow.AcceptedRequest) -> None:
-        """Mark a request whose server connection broke, here and at the other instances."""
+        """Mark a request that broke a server's connection, here and at other instances."""
         now = self._reactor.seconds()
         fingerprint = _fingerprint(accepted.request)
         mark = self._quarantine.record_failure(fingerprint, secrets.token_hex(8), now)
@@ -248,7 +252,7 @@
         )
 
     def _clear_marks(self, accepted: request_flow.AcceptedRequest) -> None:
-        """Clear the marks of an answered request, here and at the other instances."""
+        """Clear the marks of an answered request, here and at other instances."""
         if self._quarantine.is_empty:
             return
         fingerprint = _fingerprint(accepted.request)
@@ -257,9 +261,10 @@
 
 
 def _with_ok_headers(respond: Responder) -> Responder:
-    """Return a responder that adds the OK result code to responses without a result code.
+    """Return a responder that adds the headers of the OK code to responses without a code.
 
-    It is used for calls of the client API, whose responses all have a result code.
+    It is used for calls of the client API, whose responses must all have a result code.
+    Refusals have their own; responses of backend servers have none.
     """
     headers = client_api.result_headers(codes.Code.OK, may_have_run=False)
 
@@ -275,7 +280,7 @@
 
 
 def _fingerprint(request: client_connections.ClientRequest) -> poison.Fingerprint:
-    """Return the fingerprint of a request, which is the same when its client repeats it."""
+    """Return the fingerprint of a request; it stays the same when the client repeats it."""
     head = request.head
     host = head.get("host") or ""
     parts = (request.client, host, head.method.decode("latin-1"), head.target.decode("latin-1"))
--- a/src/carobhook/transport/request_flow.py
+++ b/src/carobhook/transport/request_flow.py
@@ -13,21 +13,25 @@
 from carobhook.state import allocation, codes, ids, routing
 from carobhook.transport import client_connections, server_connections
 
-# Time that a response needs on its way to the client. A server is told a time left that is
-# this much shorter, so that its own timeout response still reaches the client in time.
+# Time for a response to travel from the server to the client. It is subtracted from the time
+# left that is sent to a server; otherwise the server's own timeout response would reach the
+# client after the deadline.
 _RESPONSE_MARGIN_S = 0.02
-# A request with less time left than this is not sent, because no server responds that fast.
+# A request with less time left than this is not sent to a server, because no server responds
+# that fast and the attempt would use a slot in vain.
 _MIN_WORK_S = 0.005
-# Maximum number of unreachable servers after which a request is still sent to another one.
+# A request is refused when more than this many attempts could not connect to a server. Such
+# attempts do not count toward the route's limit on attempts, so without a limit of their own a
+# request would be sent to one unreachable server after another until its deadline.
 _MAX_UNREACHABLE = 4
 
 
 class Stage(enum.Enum):
     """Stage of a request.
 
-    WAITING: It waits for a slot.
-    RUNNING: It is being sent to a server or was sent to one.
-    ENDED: It is over, and nothing more is done for it.
+    WAITING: It waits for a slot, for its first attempt or for a retry.
+    RUNNING: An attempt is in progress: a server may be running the request.
+    ENDED: Its processing has ended. No further attempt is made.
     """
 
     WAITING = "waiting"
@@ -51,7 +55,10 @@
 
 
 class SlotAllocator(typing.Protocol):
-    """Requests slots from dispatchers and releases them."""
+    """Requests slots from dispatchers and releases them.
+
+    `slot_allocator.SlotAllocator` implements this.
+    """
 
     def request_slot(
         self, request: allocation.SlotRequest, region: ids.Region
@@ -74,7 +81,8 @@
     Attributes:
         request: The client's request.
         id: Id of the request in the slot requests of this instance.
-        client_id: Id that the client gave to this attempt, or None.
+        client_id: Id that the client gave to this request, or None. For the client, which may
+            send the request again, it is the id of an attempt.
         route: Route of the request.
         service: Service that must run the request.
         region: Region whose dispatcher is asked for a slot first.
@@ -109,7 +117,8 @@
     Attributes:
         accepted: The request.
         status: HTTP status of the response; 0 if the client had disconnected.
-        refusal: Refusal that was sent in place of a server's response, or None.
+        refusal: Refusal of the request, or None if a server's response was sent. It is sent to
+            the client unless the client had disconnected.
         server: Server that the request was last sent to, or None.
         attempts: Number of attempts in which the request may have reached a server.
         slot_wait_s: Seconds from arrival until the first slot was granted; until the end if
@@ -138,7 +147,8 @@
         respond: Sends the response to the client; called at most once.
         on_outcome: Called once with the outcome for the client.
         on_finished: Called once when nothing more is done for the request.
-        on_broken_connection: Called whenever a server's connection breaks during an attempt.
+        on_broken_connection: Called after each attempt in which the server's connection broke
+            or its response was invalid.
         is_usable: Returns whether a server may get requests, as far as this instance knows.
     """
 
@@ -194,7 +204,8 @@
     def client_disconnected(self) -> None:
         """Report that the client disconnected, and cancel the request where that is safe.
 
-        A request that must not run twice is not cancelled once it was sent to a server.
+        A request that must not run twice is not cancelled while a server may be running it;
+        its slot is released when the attempt ends.
         """
         self._responded = True
         if self._stage is Stage.WAITING:
@@ -207,9 +218,10 @@
                 self._cancel()
 
     def _on_deadline(self) -> None:
-        """Refuse the request at its deadline.
+        """Refuse the request at its deadline, and cancel it where that is safe.
 
-        A request that must not run twice is not cancelled once it was sent to a server.
+        A request that must not run twice is not cancelled while a server may be running it;
+        its slot is released when the attempt ends.
         """
         if self._responded:
             return
@@ -239,6 +251,7 @@
         self._refuse(refusals.Refusal(codes.Code.BACKEND_LOST, True))
 
     async def _run(self) -> None:
+        """Request slots and make attempts until the request has a response or a refusal."""
         while True:
             decision = await self._allocator.request_slot(self._slot_request(), self._region)
             if isinstance(decision, allocation.SlotRefusal):
@@ -256,7 +269,7 @@
             if self._first_slot_at is None:
                 self._first_slot_at = self._reactor.seconds()
             if not self._is_usable(decision.server):
-                # This instance has newer information on the server than the dispatcher.
+                # The dispatcher's information on the server can be older than this instance's.
                 self._allocator.release_slot(
                     self._accepted.id, allocation.AttemptOutcome.CANCELLED
                 )
@@ -293,7 +306,7 @@
         )
 
     async def _attempt(self, grant: allocation.SlotGrant) -> bool:
-        """Send the request to a server; return whether to request another slot."""
+        """Make one attempt on the granted slot; return whether to request another slot."""
         accepted = self._accepted
         time_left_s = accepted.deadline_at - self._reactor.seconds() - _RESPONSE_MARGIN_S
         if time_left_s < _MIN_WORK_S:
@@ -306,11 +319,11 @@
         self._last_server = grant.server
         self._attempts += 1
         self._stage = Stage.RUNNING
-        once_only = not accepted.route.repeatable
+        require_fresh = not accepted.route.repeatable
         outcome = allocation.AttemptOutcome.CANCELLED
         try:
             received = await self._servers.exchange(
-                grant.address, head, accepted.request.body, once_only, self._matches_attempt
+                grant.address, head, accepted.request.body, require_fresh, self._matches_attempt
             )
             outcome = self._codec.attempt_outcome(received.response)
         except server_connections.ExchangeError as error:
@@ -345,8 +358,8 @@
             return allocation.AttemptOutcome.UNREACHABLE
         self._may_have_run = True
         if error.reused and error.fault is server_connections.Fault.RESET:
-            # The server may have closed the connection before the request reached it, so the
-            # other idle connections to it are not trusted either.
+            # The server may have closed the idle connection before the request reached it. It
+            # may have closed its other idle connections too, so they are not reused.
             self._servers.discard_idle(grant.address)
         return allocation.AttemptOutcome.BROKEN
 
@@ -356,7 +369,7 @@
         received: server_connections.ReceivedResponse | None,
         grant: allocation.SlotGrant,
     ) -> bool:
-        """Respond to the client, or return True if the request is sent to another server."""
+        """Respond to the client or prepare a retry; return whether to request another slot."""
         if outcome is allocation.AttemptOutcome.ANSWERED:
             self._forward_response(received)
             return False
@@ -409,6 +422,11 @@
         self._finish(response.status, None)
 
     def _refuse(self, refusal: refusals.Refusal) -> None:
+        """Send a refusal, or a server's failure response if there is one, to the client.
+
+        The request ends with it, except after its deadline while a server may still be running
+        a request that must not run twice.
+        """
         if self._failure_response is not None and not self._responded:
             # A server's own failure response tells the client more than this refusal.
             self._forward_response(self._failure_response)
@@ -439,7 +457,7 @@
         self._on_finished()
 
     def _report_outcome(self, status: int, refusal: refusals.Refusal | None) -> None:
-        """Report the outcome, or log that work ended after its outcome was reported."""
+        """Report the outcome, or log the end of a request whose outcome was reported before."""
         now = self._reactor.seconds()
         received_at = self._accepted.request.received_at
         if self._outcome_reported:
--- a/src/carobhook/transport/server_connections.py
+++ b/src/carobhook/transport/server_connections.py
@@ -1,4 +1,4 @@
-"""Connections to servers: each carries one exchange at a time and is kept for the next."""
+"""Connections to servers: each carries one exchange at a time and is reused for the next."""
 
 import collections
 import enum
@@ -13,13 +13,14 @@
 from carobhook.protocol import http1
 
 # A server closes an idle connection after the timeout that it announces, and a request that is
-# on its way at that moment is lost. A connection is therefore not reused in the last part of
-# the timeout, which has this length.
+# on its way at that moment is lost. A connection is therefore not reused once less than this is
+# left of the timeout.
 _KEEP_ALIVE_MARGIN_S = 1.0
+# Maximum idle time of a connection that is reused, if the server announces no shorter timeout.
 _MAX_IDLE_S = 4.0
-# If a middlebox has dropped the state of a connection, this is noticed only after a request on
-# it was lost. A request that cannot be sent again therefore uses only connections that were
-# idle for at most this long.
+# A middlebox can drop the state of an idle connection, which is noticed only when a request on
+# that connection is lost. A request that must not run twice could not be retried then, so it
+# uses only connections that were idle for at most this long.
 _MAX_FRESH_IDLE_S = 1.0
 _MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 _KEEP_ALIVE_PATTERN = re.compile(r"timeout=(\d+)")
@@ -35,7 +36,11 @@
 class Fault(enum.Enum):
     """How an exchange with a server failed.
 
-    After CONNECT, nothing was sent; after any other fault, the request may have run.
+    CONNECT: No connection could be opened, so the request was not sent. After any other fault,
+        the request may have run.
+    RESET: The connection was closed before the head of a response arrived.
+    GARBLED: The response is invalid or too large, or belongs to another request.
+    CUT_SHORT: The connection was closed before the response was complete.
     """
 
     CONNECT = "connect"
@@ -123,7 +128,7 @@
         self._body_size = 0
 
     def abort(self) -> None:
-        """Close the connection at once, so that the server cancels the request."""
+        """Close the connection at once, which makes the server cancel a running request."""
         self.is_reusable = False
         self._parser = None
         self._pending = None
@@ -188,7 +193,8 @@
         )
         close = bool(extra) or at_eof or parser.their_state is not h11.DONE
         if not self._matches(response):
-            # A surplus response to an earlier request; that to this request may follow.
+            # This is a surplus response to an earlier request. The response to the current
+            # request may follow it.
             self._had_unmatched_response = True
             if at_eof or parser.their_state is not h11.DONE:
                 self._fail(Fault.GARBLED, "the answer belongs to another request")
@@ -258,10 +264,10 @@
 
         Args:
             address: ``host:port`` of the server.
-            head: Request line and headers without a length.
+            head: Request line and headers, without Content-Length.
             body: Request body.
             require_fresh: Whether to use only a new connection or one that was idle only
-                briefly, because the request cannot be sent again.
+                briefly, as for a request that must not run twice.
             matches: Returns whether a response belongs to this request.
 
         Raises:
@@ -276,7 +282,7 @@
         return received
 
     def close_idle(self, now: float) -> None:
-        """Close the connections that have been idle for too long.
+        """Close the connections that were idle for too long to be reused.
 
         Args:
             now: Monotonic time in seconds.
@@ -298,7 +304,7 @@
             self.discard_idle(address)
 
     def discard_idle(self, address: str) -> None:
-        """Close the idle connections to a server, because one of them turned out to be dead."""
+        """Close the idle connections to a server."""
         for connection in self._idle.pop(address, ()):
             connection.abort()
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""Tests of complete entry instances with stand-ins for the platform, over loopback."""
+"""Tests of complete entry instances over loopback, with stand-ins for store and servers."""
 
 import hashlib
 import json
@@ -226,7 +226,11 @@
     @property
     def started_ids(self):
         """Return the attempt ids of all requests that any server started."""
-        return [one for backend in self.backends.values() for one in backend.started_ids]
+        return [
+            attempt_id
+            for backend in self.backends.values()
+            for attempt_id in backend.started_ids
+        ]
 
     def set_behaviour(self, **fields):
         """Set the behaviour of every backend server."""
@@ -266,7 +270,7 @@
         ]
 
     async def test_request_without_servers_is_refused_at_once(self):
-        """Without a server, the client gets a 503, which promises not-run, and Retry-After."""
+        """The client gets a 503, which states that the request did not run, and Retry-After."""
         for name in self.backends:
             self.store.remove("servers", name)
         await self.wait_until(lambda: not self.daemons[0]._known.servers(reactor.seconds()))
@@ -281,7 +285,7 @@
     """Requests that must not run twice."""
 
     async def test_request_is_not_retried_after_a_reset(self):
-        """The server may have run it, so no other gets it, and 502 does not promise not-run."""
+        """The server may have run it: it is not retried, and 502 leaves open whether it ran."""
         self.set_behaviour(reset=True)
         response = await self.request("/u/x", b"POST", b"order")
         assert response.status == 502
@@ -439,8 +443,8 @@
         self.store.put("config", "main", config(9, route()))
         await self.wait_until(lambda: self.daemons[0]._known.config.version == 9)
 
-    async def test_evacuated_zone_gets_no_requests(self):
-        """The servers of an evacuated zone are not used until the evacuation is removed."""
+    async def test_evacuated_failure_domain_gets_no_requests(self):
+        """Servers of an evacuated failure domain are unused until the evacuation is removed."""
         self.register("i-0", zone="north-b")
         self.store.put("evacuations", "north-b", {})
         await self.wait_until(
@@ -469,12 +473,12 @@
         )
 
     async def test_slots_are_shared_by_both_instances(self):
-        """Requests through two instances never exceed the slots of a server."""
+        """Two instances together start no more requests at once than a server has slots."""
         await self.join()
         self.set_behaviour(work_s=0.2)
         backend = self.backends["i-0"]
-        peak = []
-        loop = task.LoopingCall(lambda: peak.append(len(backend.started_ids)))
+        started_counts = []
+        loop = task.LoopingCall(lambda: started_counts.append(len(backend.started_ids)))
         waiting = [
             defer.ensureDeferred(
                 self.request(instance=("one", "two")[n % 2], X_Attempt_Id=str(n))
@@ -489,7 +493,7 @@
         assert {response.status for response in responses} <= {200, 503}
 
     async def test_one_instance_watches_the_store_for_both(self):
-        """The watching instance forwards the changes in the store to the other one."""
+        """The instance that watches the store forwards its changes to the other one."""
         await self.join()
         await self.wait_until(
             lambda: sorted(d._follow.direct for d in self.daemons) == [False, True]
@@ -498,7 +502,7 @@
         await self.wait_until(lambda: all(d._known.config.version == 5 for d in self.daemons))
 
     async def test_leaving_instance_is_not_in_the_directory(self):
-        """The directory of the other omits it at once, and its running requests complete."""
+        """The other instance stops listing it, and its running requests complete."""
         await self.join()
         self.set_behaviour(work_s=0.4)
         running = defer.ensureDeferred(self.request(instance="two"))
@@ -510,8 +514,8 @@
         assert (await running).status == 200
         await stopping
 
-    async def test_slots_of_a_lost_instance_are_released(self):
-        """An instance that stops abruptly is removed, and the other gets its slots."""
+    async def test_lost_instance_is_removed(self):
+        """An instance that stops abruptly is removed, and the other still serves requests."""
         await self.join()
         await self.daemons.pop()._shut_down()
         await self.wait_until(
@@ -567,7 +571,7 @@
         return response.status, json.loads(response.body)
 
     async def progress(self, version):
-        """Return on how many instances an order version is in force."""
+        """Return the decoded report on the instances on which an order version is in force."""
         response = await self.request(
             f"/v1/in-force/{version}", port="operators", Authorization="Bearer operator"
         )
@@ -590,7 +594,7 @@
         await self.wait_until(lambda: self.daemons[0]._orders.in_force.version == 1)
         found = await self.progress(1)
         while found["missing"]:
-            # The version is exchanged with the next heartbeat.
+            # An instance reports the version that it has in force with its next heartbeat.
             assert found["seconds"] < 3.0
             found = await self.progress(1)
         assert (found["in_force"], found["total"]) == (1, 1)
@@ -612,7 +616,7 @@
         assert ["r/a/safe", 0, 1] in ranks["rows"]
 
     async def test_every_query_returns_rows(self):
-        """All tables, explanations and dry runs return rows."""
+        """All tables, explanations and dry runs return rows; an unknown change has a code."""
         await self.request()
         subjects = ["regions", "traffic", "servers", "routes", "ranks", "caps", "instances"]
         for text in [
--- a/tests/test_request_flow.py
+++ b/tests/test_request_flow.py
@@ -21,7 +21,7 @@
         self.requests, self.outcomes, self.pending = [], [], []
 
     def request_slot(self, request, region):
-        """Record a slot request, which the test grants or refuses."""
+        """Record a slot request, which the test grants or refuses later."""
         decision = defer.Deferred()
         self.requests.append((request, region))
         self.pending.append(decision)
@@ -159,7 +159,7 @@
         assert case.outcomes[0].refusal.detail == "running=4/4"
 
     def test_refused_shifted_request_falls_back_to_its_own_region(self):
-        """A request shifted by an order is not lost if its own region can serve it."""
+        """A request that an order shifted runs in its own region if the other refuses it."""
         case = FlowCase(fallback="north")
         case.allocator.refuse()
         assert [region for _, region in case.allocator.requests] == ["south", "north"]
@@ -176,7 +176,7 @@
 
 
 class TestEnds:
-    """Requests that were sent to a server."""
+    """Ends of requests that were sent to a server."""
 
     def test_timeout_of_work_that_runs_once(self, caplog):
         """The client gets a 504 at the timeout; the late response only gets a log line."""
@@ -193,7 +193,7 @@
         assert [(fields["request"], fields["status"]) for fields in late] == [("id-1", 200)]
 
     def test_late_response_does_not_hide_the_cause(self):
-        """The cause found in the log is that of the response that the client got."""
+        """The trace names the cause of the client's response, not the server's late success."""
         lines = [
             {"time": "1", "event": "request-ended", "request": "a", "status": 504,
              "code": 1021, "sends": 1, "server": "s1", "total_ms": 1000.0},
@@ -219,7 +219,7 @@
         assert case.finished
 
     def test_broken_connection(self):
-        """A request that must not run twice is not retried, and not reported as not run."""
+        """A request that must not run twice is not retried; its run status is unknown."""
         case = FlowCase(ONCE)
         case.allocator.grant()
         case.servers.fail()
@@ -227,7 +227,7 @@
         assert case.responses[0].get("carobhook-run") == "unknown"
 
     def test_shed_by_every_server(self):
-        """A request that every server shed is refused as not run."""
+        """A request whose attempts were all shed is refused as not run."""
         case = FlowCase(ONCE)
         for server in ("s1", "s2"):
             case.allocator.grant(server)
