--- a/src/carobhook/platform/requests.py
+++ b/src/carobhook/platform/requests.py
@@ -56,17 +56,19 @@
         headers.append((names.EXPECTED_SERVER.encode(), server.encode()))
         return http1.RequestHead(head.method, head.target, tuple(headers))
 
-    def matches_attempt(self, response: http1.Response, client_id: str | None) -> bool:
+    def matches_attempt(self, response: http1.Response, client_request_id: str | None) -> bool:
         """Return whether a response belongs to a client's attempt.
 
         A response without an id, or to an attempt without one, counts as belonging to it.
 
         Args:
             response: Response of a backend server.
-            client_id: Id that the client gave the attempt, or None.
+            client_request_id: Id that the client gave the attempt, or None.
         """
         response_id = response.get(names.REQUEST_ID)
-        return response_id is None or client_id is None or response_id == client_id
+        return (
+            response_id is None or client_request_id is None or response_id == client_request_id
+        )
 
     def attempt_outcome(self, response: http1.Response) -> allocation.AttemptOutcome:
         """Return the outcome of an attempt that a backend server responded to."""
--- a/src/carobhook/transport/entry_requests.py
+++ b/src/carobhook/transport/entry_requests.py
@@ -170,7 +170,7 @@
         return request_flow.AcceptedRequest(
             request=request,
             id=ids.RequestId(f"{self._incarnation[:8]}-{self._accepted_count:x}"),
-            client_id=requests.request_id(request.head),
+            client_request_id=requests.request_id(request.head),
             route=decision.route,
             service=decision.service,
             region=decision.region,
@@ -208,7 +208,7 @@
         self._update_metrics(outcome)
         logs.event(
             "request-ended",
-            request=accepted.client_id,
+            request=accepted.client_request_id,
             route=accepted.route.name,
             service=accepted.service,
             status=outcome.status,
@@ -244,7 +244,7 @@
         fingerprint = _fingerprint(accepted.request)
         mark = self._quarantine.record_failure(fingerprint, secrets.token_hex(8), now)
         logs.warning(
-            "request-marked", request=accepted.client_id, fingerprint=fingerprint.hex()
+            "request-marked", request=accepted.client_request_id, fingerprint=fingerprint.hex()
         )
         remaining_ms = round((mark.expires_at - now) * 1000)
         self._context.broadcast(
--- a/src/carobhook/transport/request_flow.py
+++ b/src/carobhook/transport/request_flow.py
@@ -50,7 +50,7 @@
     def attempt_outcome(self, response: http1.Response) -> allocation.AttemptOutcome:
         """Return the outcome of an attempt that a server responded to."""
 
-    def matches_attempt(self, response: http1.Response, client_id: str | None) -> bool:
+    def matches_attempt(self, response: http1.Response, client_request_id: str | None) -> bool:
         """Return whether a response belongs to a client's attempt."""
 
 
@@ -81,8 +81,8 @@
     Attributes:
         request: The client's request.
         id: Id of the request in the slot requests of this instance.
-        client_id: Id that the client gave to this request, or None. For the client, which may
-            send the request again, it is the id of an attempt.
+        client_request_id: Id that the client gave to this request, or None. For the client,
+            which may send the request again, it is the id of an attempt.
         route: Route of the request.
         service: Service that must run the request.
         region: Region whose dispatcher is asked for a slot first.
@@ -97,7 +97,7 @@
 
     request: client_connections.ClientRequest
     id: ids.RequestId
-    client_id: str | None
+    client_request_id: str | None
     route: routing.Route
     service: ids.Service
     region: ids.Region
@@ -244,7 +244,7 @@
             return
         logs.error(
             "exchange-failed",
-            request=self._accepted.client_id,
+            request=self._accepted.client_request_id,
             error=reason.getErrorMessage(),
             trace=reason.getTraceback(),
         )
@@ -336,7 +336,7 @@
         return self._handle_outcome(outcome, received, grant)
 
     def _matches_attempt(self, response: http1.Response) -> bool:
-        return self._codec.matches_attempt(response, self._accepted.client_id)
+        return self._codec.matches_attempt(response, self._accepted.client_request_id)
 
     def _failed_outcome(
         self, error: server_connections.ExchangeError, grant: allocation.SlotGrant
@@ -344,7 +344,7 @@
         """Log a failed exchange and return the outcome of its attempt."""
         logs.event(
             "exchange-broken",
-            request=self._accepted.client_id,
+            request=self._accepted.client_request_id,
             server=grant.server,
             fault=error.fault.value,
             reused=error.reused,
@@ -383,7 +383,7 @@
             self._stage = Stage.WAITING
             logs.event(
                 "request-retried",
-                request=self._accepted.client_id,
+                request=self._accepted.client_request_id,
                 server=grant.server,
                 end=outcome,
                 sends=self._attempts,
@@ -463,7 +463,7 @@
         if self._outcome_reported:
             logs.event(
                 "work-ended-late",
-                request=self._accepted.client_id,
+                request=self._accepted.client_request_id,
                 server=self._last_server,
                 status=status,
                 total_ms=round((now - received_at) * 1000, 1),
