--- a/src/carobhook/transport/entry_daemon.py
+++ b/src/carobhook/transport/entry_daemon.py
@@ -1,4 +1,4 @@
-"""Entry instance: creates its parts, listens on its addresses, and starts and stops it."""
+"""Entry instance: creates and connects its parts, starts them and stops them."""
 
 import random
 import secrets
@@ -27,22 +27,28 @@
     store_sync,
 )
 
-_HEARTBEAT_S = 0.4
+_HEARTBEAT_INTERVAL_S = 0.4
 _CONNECT_TIMEOUT_S = 0.5
-_TICK_S = 0.1
-_CLOSE_IDLE_S = 1.0
-# New connections are accepted for this long after a stop began: clients that asked the
-# directory just before still connect to this instance until the answer's time to live ends.
-_ACCEPT_AFTER_STOP_S = entry_endpoints.DIRECTORY_TTL_S + 0.3
-_STOP_POLL_S = 0.05
-# Share of the grace period, at its end, that is left for the last responses and for the process
-# to exit.
+_TICK_INTERVAL_S = 0.1
+_CLOSE_IDLE_INTERVAL_S = 1.0
+# A stopping instance accepts new connections for at least this long, unless the grace period
+# ends sooner. Clients cache the response to a directory lookup for its time to live, so those
+# that looked up this instance just before still connect to it; their connections would be
+# refused if it closed its sockets at once.
+_MIN_STOP_S = entry_endpoints.DIRECTORY_TTL_S + 0.3
+_STOP_POLL_INTERVAL_S = 0.05
+# Share of the grace period, at its end, that is kept for the exit. Requests are aborted when it
+# begins, so that the last responses can be sent and the process exits before it is killed.
 _GRACE_MARGIN_RATIO = 0.15
+# File descriptors that the connections of clients leave for all other uses, such as connections
+# to backend servers and to other instances.
 _RESERVED_DESCRIPTORS = 600
+# Share of the instance's memory that buffered request bodies may use.
 _BODY_MEMORY_RATIO = 0.25
-# Slot loans between regions change every half second, and the settings bound the change within
-# two seconds, so that each step may use a quarter of the bound.
-_LOAN_STEPS_PER_SHIFT = 4
+# The setting ``shift_most`` limits how much traffic changes region within two seconds. Loans of
+# slots between regions are updated every half second. Four updates fit into this time, so
+# each may use a quarter of the limit; with larger steps, they could exceed it together.
+_LOAN_STEPS_PER_BOUND = 4
 # Traffic in Mbit/s that one processor core can carry.
 _MBPS_PER_CORE = 100.0
 
@@ -62,7 +68,7 @@
 
 
 class EntryDaemon:
-    """One entry instance: its listeners, its connections and the tasks behind them.
+    """Runs one entry instance: its listeners, its connections and its periodic tasks.
 
     Args:
         settings: Settings of the instance.
@@ -163,7 +169,7 @@
             bounds.budget_window_s,
             bounds.cold_over,
             bounds.cold_slack,
-            bounds.shift_most / _LOAN_STEPS_PER_SHIFT,
+            bounds.shift_most / _LOAN_STEPS_PER_BOUND,
         )
 
     def _create_entry_requests(self) -> entry_requests.EntryRequests:
@@ -227,7 +233,7 @@
         return self._phase
 
     async def start(self) -> None:
-        """Listen on all addresses, and start to follow the store and the other instances.
+        """Listen on all addresses, connect to the seeds, and start to follow the store.
 
         Raises:
             twisted.internet.error.CannotListenError: An address is in use.
@@ -245,9 +251,9 @@
             self._listen(place.operators, self._create_operator_listener(), context)
         self._streams.start(place.peers, place.seeds)
         self._store_sync.start()
-        self._start_loop(self._heartbeat, _HEARTBEAT_S)
-        self._start_loop(self._tick, _TICK_S)
-        self._start_loop(self._close_idle, _CLOSE_IDLE_S)
+        self._start_loop(self._heartbeat, _HEARTBEAT_INTERVAL_S)
+        self._start_loop(self._tick, _TICK_INTERVAL_S)
+        self._start_loop(self._close_idle, _CLOSE_IDLE_INTERVAL_S)
         logs.event("instance-started", region=place.region, zone=place.failure_domain)
 
     def _listen(self, address: str, listener: typing.Any, context: typing.Any = None) -> None:
@@ -266,7 +272,7 @@
         self._operator_api = operator_api.OperatorApi(
             self._reactor,
             operator_api.Roles(security.operators, security.readers),
-            view.ports(self._store, self._reactor.seconds),
+            view.instance_access(self._store, self._reactor.seconds),
             self._clocks.wall,
         )
         return client_connections.ClientListener(
@@ -280,8 +286,8 @@
     def reload(self, settings: entry_settings.EntrySettings) -> None:
         """Apply the changed settings that need no restart.
 
-        These are the seeds, the grace period and the longest lifetime of a lookup's answer; the
-        others take effect at the next start.
+        These are the seeds, the grace period and the maximum time for which clients may cache
+        the response to a directory lookup. All others take effect at the next start.
 
         Args:
             settings: The changed settings.
@@ -299,28 +305,29 @@
     async def stop(self) -> None:
         """Leave the deployment: finish the requests in progress, then close all sockets.
 
-        Requests that still run shortly before the end of the grace period are aborted. Calls
-        after the first do nothing.
+        Connections are accepted for a minimum time even if no request is in progress. Requests
+        that still run shortly before the end of the grace period are aborted. Calls after the
+        first return at once.
         """
         if self._phase is members.Phase.LEAVING:
             return
         started_at = self._clocks.boot()
         deadline_at = started_at + self._settings.bounds.grace_s * (1 - _GRACE_MARGIN_RATIO)
-        accept_until = started_at + _ACCEPT_AFTER_STOP_S
+        earliest_end_at = started_at + _MIN_STOP_S
         logs.event("instance-leaving", requests=self._requests.in_flight)
         self._phase = members.Phase.LEAVING
         self._request_listener.closes_after_response = True
         self._heartbeat()
         self._allocator.update_owners()
         self._request_listener.close_idle()
-        # The grace period also runs while the machine is suspended, which the reactor's clock
-        # does not count.
+        # The grace period also passes while the machine is suspended. The reactor's clock stops
+        # then, so it would end the period too late.
         while (now := self._clocks.boot()) < deadline_at:
-            if now >= accept_until:
+            if now >= earliest_end_at:
                 if not self._requests.in_flight and not self._request_listener.open_connections:
                     break
                 self._request_listener.close_idle()
-            await task.deferLater(self._reactor, _STOP_POLL_S)
+            await task.deferLater(self._reactor, _STOP_POLL_INTERVAL_S)
         await self._shut_down()
 
     async def _shut_down(self) -> None:
@@ -374,6 +381,7 @@
         return min(capacity.link_mbps, capacity.cores * _MBPS_PER_CORE)
 
     def _heartbeat(self) -> None:
+        """Send heartbeats; a starting instance that has all objects is ready first."""
         if (
             self._phase is members.Phase.STARTING
             and self._catalog.config is not None
@@ -406,7 +414,7 @@
         else:
             self._allocator.handle_message(sender, message)
 
-    # Changes of the store, and periodic work.
+    # Handlers of store changes, and periodic tasks.
 
     def _on_catalog_change(self) -> None:
         self._allocator.update_servers()
@@ -427,8 +435,8 @@
 
     def _region_relays(self) -> list[ids.InstanceId]:
         live = self._streams.membership.live(self._reactor.seconds())
-        found = membership.relays(live, self._settings.place.region)
-        return [member.name for member in found]
+        relays = membership.relays(live, self._settings.place.region)
+        return [member.name for member in relays]
 
     def _close_idle(self) -> None:
         now = self._reactor.seconds()
--- a/src/carobhook/transport/operator_api.py
+++ b/src/carobhook/transport/operator_api.py
@@ -1,4 +1,4 @@
-"""HTTP interface of operators: orders, queries, and on which instances an order is in force."""
+"""HTTP interface of operators, for orders, queries and the rollout of orders."""
 
 import hashlib
 import hmac
@@ -21,7 +21,8 @@
 CLIENT_LIMITS = routing.ClientLimits(max_body_bytes=64 * 1024, idle_timeout_s=60.0)
 MAX_CONNECTIONS = 64
 MAX_BUFFERED_BYTES = 1024 * 1024
-_RETRY_S = 0.2
+_STORE_RETRY_DELAY_S = 0.2
+# A query is answered without the loads that are not reported within this time.
 _LOADS_WAIT_S = 1.0
 
 _Respond = Callable[[http1.Response], None]
@@ -29,7 +30,9 @@
 
 @attrs.frozen
 class Roles:
-    """Accepted tokens: their SHA-256 hashes in hex by the names of their owners.
+    """Accepted tokens by role, as mappings from the owner's name to the token's hash.
+
+    The hashes are SHA-256 in hex.
 
     Attributes:
         operators: Tokens that allow orders and queries.
@@ -54,18 +57,19 @@
         return None
     digest = hashlib.sha256(token.encode()).hexdigest()
     return next(
-        (name for name, known in tokens.items() if hmac.compare_digest(known, digest)), None
+        (name for name, accepted in tokens.items() if hmac.compare_digest(accepted, digest)),
+        None,
     )
 
 
 @attrs.frozen
-class OperatorPorts:
+class InstanceAccess:
     """Access to the parts of an instance that orders and queries need.
 
     Attributes:
         store: The store, which keeps the orders.
         view: Returns the state that queries are answered from, given the loads of all shards.
-        names: Returns the names that orders may refer to.
+        known_names: Returns the names that orders may refer to.
         send_load_query: Sends a query to the other instances that can run shards; returns how
             many it was sent to.
         own_loads: Returns the loads of this instance's shards.
@@ -73,19 +77,19 @@
 
     store: objects.ObjectStore
     view: Callable[[list[slot_messages.ShardLoad]], operator_queries.InstanceView]
-    names: Callable[[], order_commands.KnownNames]
+    known_names: Callable[[], order_commands.KnownNames]
     send_load_query: Callable[[slot_messages.LoadQuery], int]
     own_loads: Callable[[], list[slot_messages.ShardLoad]]
 
 
 @attrs.define(eq=False)
 class _LoadCollection:
-    """Shard loads that are being collected from the instances.
+    """Collection of shard loads from this and the queried instances.
 
     Attributes:
-        pending: Number of instances that have not reported yet.
+        pending: Number of queried instances that have not reported yet.
         loads: Loads reported so far.
-        done: Fires when all have reported, or the wait is over.
+        done: Fires when all have reported, or after `_LOADS_WAIT_S`.
     """
 
     pending: int
@@ -99,7 +103,7 @@
     Args:
         reactor: Source of time and timers.
         roles: Accepted tokens.
-        ports: Access to the parts of the instance.
+        instance: Access to the parts of the instance.
         wall: Returns the wall-clock time in seconds.
     """
 
@@ -107,29 +111,29 @@
         self,
         reactor: typing.Any,
         roles: Roles,
-        ports: OperatorPorts,
+        instance: InstanceAccess,
         wall: Callable[[], float] = time.time,
     ) -> None:
         self._reactor = reactor
         self._roles = roles
-        self._ports = ports
+        self._instance = instance
         self._wall = wall
         self._orders = order_store.OrderStore(
-            ports.store, lambda: task.deferLater(reactor, _RETRY_S)
+            instance.store, lambda: task.deferLater(reactor, _STORE_RETRY_DELAY_S)
         )
         self._collections: dict[str, _LoadCollection] = {}
-        self._last_query = 0
+        self._last_query_number = 0
 
     def handle_request(
-        self, inbound: client_connections.ClientRequest, respond: _Respond
+        self, request: client_connections.ClientRequest, respond: _Respond
     ) -> None:
         """Handle a request.
 
         Args:
-            inbound: The request.
+            request: The request.
             respond: Called once with the response.
         """
-        running = defer.ensureDeferred(self._compute_response(inbound))
+        running = defer.ensureDeferred(self._compute_response(request))
         running.addErrback(_error_response)
         running.addCallback(respond)
 
@@ -144,18 +148,18 @@
             collection.done.callback(None)
 
     async def _compute_response(
-        self, inbound: client_connections.ClientRequest
+        self, request: client_connections.ClientRequest
     ) -> http1.Response:
-        head = inbound.head
+        head = request.head
         path = head.target.partition(b"?")[0].decode("latin-1")
         header = head.get("authorization")
         author = self._roles.authenticate(header)
         if author is None:
-            logs.warning("order-unauthenticated", peer=inbound.client)
+            logs.warning("order-unauthenticated", peer=request.client)
             return _encode_answer(operator_queries.Answer(codes.Code.ORDER_UNAUTHENTICATED))
         if path == ORDERS_PATH and head.method == b"POST":
             may_order = self._roles.may_order(header)
-            return _encode_answer(await self._execute(inbound.body, author, may_order))
+            return _encode_answer(await self._execute(request.body, author, may_order))
         version = path.removeprefix(IN_FORCE_PATH)
         if path.startswith(IN_FORCE_PATH) and version.isdigit():
             return self._rollout_response(ids.Version(int(version)))
@@ -164,11 +168,13 @@
         )
 
     def _rollout_response(self, version: ids.Version) -> http1.Response:
-        """Return on how many live instances a version of the orders is in force."""
-        view = self._ports.view([])
+        """Return the response that reports on the rollout of a version of the orders."""
+        view = self._instance.view([])
         missing = operator_queries.instances_without(version, view.live_members)
         changes = view.orders.in_force.changes
-        accepted_at = next((c.at for c in changes if c.version == version), self._wall())
+        accepted_at = next(
+            (change.at for change in changes if change.version == version), self._wall()
+        )
         content = {
             "version": version,
             "in_force": len(view.live_members) - len(missing),
@@ -183,27 +189,27 @@
     ) -> operator_queries.Answer:
         try:
             content = json.loads(body)
-            order = ids.OrderId(str(content["id"]))
+            order_id = ids.OrderId(str(content["id"]))
             text = str(content["text"])
             base = None if content.get("base") is None else ids.Version(int(content["base"]))
             statement = language.parse(text)
-        except language.StatementSyntaxError as fault:
-            return operator_queries.Answer(codes.Code.ORDER_SYNTAX, str(fault))
+        except language.StatementSyntaxError as error:
+            return operator_queries.Answer(codes.Code.ORDER_SYNTAX, str(error))
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             reason = f"the body must have id and text: {error!r:.100}"
             return operator_queries.Answer(codes.Code.ORDER_SYNTAX, reason)
         context = order_commands.OrderContext(
-            order, author, text, self._wall(), self._ports.names()
+            order_id, author, text, self._wall(), self._instance.known_names()
         )
         try:
             if isinstance(statement, statements.Command):
                 return await self._submit_command(statement, context, base, may_order)
             return await self._answer_query(statement, context)
-        except order_commands.OrderError as fault:
+        except order_commands.OrderError as error:
             logs.event(
-                "order-refused", order=order, author=author, text=text, reason=fault.text
+                "order-refused", order=order_id, author=author, text=text, reason=error.text
             )
-            return operator_queries.Answer(fault.code, fault.text)
+            return operator_queries.Answer(error.code, error.text)
 
     async def _submit_command(
         self,
@@ -232,18 +238,20 @@
     async def _answer_query(
         self, query: statements.Query | statements.DryRun, context: order_commands.OrderContext
     ) -> operator_queries.Answer:
-        view = self._ports.view(await self._collect_loads())
+        view = self._instance.view(await self._collect_loads())
         if isinstance(query, statements.DryRun):
             return operator_queries.dry_run(query.command, view, context)
         return operator_queries.answer(query, view)
 
     async def _collect_loads(self) -> list[slot_messages.ShardLoad]:
-        """Return the loads of all shards whose instances report in time."""
-        self._last_query += 1
-        query_id = f"{self._last_query:x}"
-        asked = self._ports.send_load_query(slot_messages.LoadQuery(query_id))
-        collection = _LoadCollection(asked, self._ports.own_loads(), defer.Deferred())
-        if asked:
+        """Return the loads of the shards of this instance, and of those that report in time."""
+        self._last_query_number += 1
+        query_id = f"{self._last_query_number:x}"
+        queried_count = self._instance.send_load_query(slot_messages.LoadQuery(query_id))
+        collection = _LoadCollection(
+            queried_count, self._instance.own_loads(), defer.Deferred()
+        )
+        if queried_count:
             self._collections[query_id] = collection
             timer = self._reactor.callLater(
                 _LOADS_WAIT_S, lambda: collection.done.callback(None)
@@ -272,14 +280,14 @@
     return _encode_answer(operator_queries.Answer(code, reason.getErrorMessage()))
 
 
-def _encode_answer(result: operator_queries.Answer) -> http1.Response:
-    info = result.code.value
+def _encode_answer(answer: operator_queries.Answer) -> http1.Response:
+    info = answer.code.value
     content = {
         "code": info.number,
-        "text": result.text or info.text,
-        "version": result.version,
-        "columns": list(result.columns) or None,
-        "rows": [list(row) for row in result.rows] if result.columns else None,
+        "text": answer.text or info.text,
+        "version": answer.version,
+        "columns": list(answer.columns) or None,
+        "rows": [list(row) for row in answer.rows] if answer.columns else None,
     }
     return _json_response(info.http_status, content)
 
--- a/src/carobhook/transport/operator_view.py
+++ b/src/carobhook/transport/operator_view.py
@@ -1,4 +1,4 @@
-"""State of an instance and its peers from which operators' queries are answered."""
+"""Gives the operators' interface access to the state of an instance and of its peers."""
 
 from collections.abc import Callable, Mapping
 
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class OperatorView:
-    """Gives the operators' interface access to the parts of an instance.
+    """Parts of an instance that orders and queries need.
 
     Attributes:
         server_catalog: Servers and configuration.
@@ -35,24 +35,24 @@
     allocator: slot_allocator.SlotAllocator
     regions: Mapping[ids.FailureDomain, ids.Region]
 
-    def ports(
+    def instance_access(
         self, store: objects.ObjectStore, seconds: Callable[[], float]
-    ) -> operator_api.OperatorPorts:
-        """Return the access that the operators' interface needs.
+    ) -> operator_api.InstanceAccess:
+        """Return the functions by which the operators' interface uses these parts.
 
         Args:
             store: The store, which keeps the orders.
             seconds: Returns the monotonic time in seconds.
         """
-        return operator_api.OperatorPorts(
+        return operator_api.InstanceAccess(
             store,
-            lambda loads: self._view(loads, seconds()),
-            lambda: self._names(seconds()),
+            lambda loads: self._instance_view(loads, seconds()),
+            lambda: self._known_names(seconds()),
             lambda message: self._send_load_query(message, seconds()),
             self.allocator.loads,
         )
 
-    def _view(
+    def _instance_view(
         self, loads: list[slot_messages.ShardLoad], now: float
     ) -> operator_queries.InstanceView:
         return operator_queries.InstanceView(
@@ -64,7 +64,7 @@
             dict(self.regions),
         )
 
-    def _names(self, now: float) -> order_commands.KnownNames:
+    def _known_names(self, now: float) -> order_commands.KnownNames:
         config = self.server_catalog.config
         return order_commands.KnownNames(
             self.regions,
--- a/src/carobhook/transport/settings_watch.py
+++ b/src/carobhook/transport/settings_watch.py
@@ -9,11 +9,12 @@
 class SettingsWatch:
     """Loads the settings file again after each change.
 
-    Faulty settings change nothing: the former ones stay in force, and each fault is logged.
+    If the file is faulty or cannot be read, the settings in force stay unchanged, and each
+    fault is logged.
 
     Args:
         path: The settings file.
-        on_change: Called with the new settings after a change of the file's text.
+        on_change: Called with the new settings after each change to a valid text.
     """
 
     def __init__(
@@ -26,10 +27,11 @@
         self._text = self._read()
 
     def check(self, signalled: bool = False) -> None:
-        """Read the file, and pass on its settings if its text has changed.
+        """Read the file, and pass on its settings if its text has changed and is valid.
 
         Args:
-            signalled: Whether a signal caused the check; an unchanged file is logged then.
+            signalled: Whether a signal caused the check. It is then also logged that the
+                settings are unchanged if the text is the same or the file cannot be read.
         """
         text = self._read()
         if text is None or text == self._text:
--- a/src/carobhook/transport/store_sync.py
+++ b/src/carobhook/transport/store_sync.py
@@ -1,4 +1,4 @@
-"""Applies changes of store objects, from a watch of the store or from an instance's feed."""
+"""Applies changes of store objects that arrive by a watch or by another instance's feed."""
 
 import json
 import random
@@ -22,18 +22,24 @@
 from carobhook.protocol import feed_messages
 from carobhook.state import ids, orders
 
-_DELAYS = backoff.Backoff(first_s=0.2, cap_s=1.0)
-_OPTIONS = object_watch.WatchOptions(wait_s=4.0, delays=_DELAYS, batch_delay_s=0.2)
-# Orders change rarely and every call has a cost, so these calls wait longer for a change.
-_ORDERS_OPTIONS = object_watch.WatchOptions(wait_s=15.0, delays=_DELAYS, batch_delay_s=0.2)
-_KINDS = {
-    names.CONFIG_KIND: _OPTIONS,
-    names.SERVERS_KIND: _OPTIONS,
-    names.EVACUATIONS_KIND: _OPTIONS,
-    orders.STORE_KIND: _ORDERS_OPTIONS,
+_RETRY_DELAYS = backoff.Backoff(first_s=0.2, cap_s=1.0)
+_WATCH_OPTIONS = object_watch.WatchOptions(wait_s=4.0, delays=_RETRY_DELAYS, batch_delay_s=0.2)
+# A watch call returns without a change when its wait ends, and is then repeated. Orders change
+# rarely, so a longer wait saves calls, each of which has a cost.
+_ORDERS_WATCH_OPTIONS = object_watch.WatchOptions(
+    wait_s=15.0, delays=_RETRY_DELAYS, batch_delay_s=0.2
+)
+_WATCH_OPTIONS_BY_KIND = {
+    names.CONFIG_KIND: _WATCH_OPTIONS,
+    names.SERVERS_KIND: _WATCH_OPTIONS,
+    names.EVACUATIONS_KIND: _WATCH_OPTIONS,
+    orders.STORE_KIND: _ORDERS_WATCH_OPTIONS,
 }
 _T = typing.TypeVar("_T")
 
+# A watch call may wait for seconds until the store answers. The store is probed in between;
+# otherwise its last answer would be too old to send progress messages, and subscribers would
+# watch the store themselves.
 _PROBE_INTERVAL_S = 0.5
 _PROBE_TIMEOUT_S = 0.5
 
@@ -57,7 +63,7 @@
 
 
 class StoreSync:
-    """Keeps configuration, servers, evacuations and orders as the store has them.
+    """Keeps the catalog and the orders of this instance up to date with the store.
 
     The changes come from a watch of the store, or from the feed of an instance that watches it.
 
@@ -65,7 +71,7 @@
         reactor: Source of time and timers.
         platform_store: The store.
         server_catalog: Catalog to update.
-        orders: Steering that gets the operators' orders.
+        order_steering: Steering that gets the operators' orders.
         rng: Source of the jitter of delays.
         on_change: Called after each update of the catalog or the orders.
         peers: Access to the other instances.
@@ -76,7 +82,7 @@
         reactor: typing.Any,
         platform_store: store.PlatformStore,
         server_catalog: catalog.Catalog,
-        orders: steering.Steering,
+        order_steering: steering.Steering,
         rng: random.Random,
         on_change: Callable[[], object],
         peers: FeedPeers,
@@ -84,7 +90,7 @@
         self._reactor = reactor
         self._store = platform_store
         self._catalog = server_catalog
-        self._orders = orders
+        self._orders = order_steering
         self._rng = rng
         self._on_change = on_change
         self._peers = peers
@@ -100,7 +106,7 @@
     @property
     def is_complete(self) -> bool:
         """Return whether the objects of every kind have been received."""
-        return len(self._revisions) == len(_KINDS)
+        return len(self._revisions) == len(_WATCH_OPTIONS_BY_KIND)
 
     @property
     def is_direct(self) -> bool:
@@ -112,13 +118,17 @@
         self.tick()
 
     def stop(self) -> None:
-        """Stop watching the store, and cancel a probe in progress."""
+        """Stop watching the store, and cancel the probe in progress, if there is one."""
         self._stop_watching()
         if self._running_probe is not None:
             self._running_probe.cancel()
 
     def tick(self) -> None:
-        """Select the source; while it is the store, probe it and send progress messages."""
+        """Select the source of changes and switch to it.
+
+        While the source is the store, it is probed, and subscribers get progress messages as
+        long as it answers.
+        """
         now = self._reactor.seconds()
         decision = self._source_selector.decide(
             self._peers.candidates(), self._peers.relays(), self.is_complete, now
@@ -150,6 +160,10 @@
     def handle_message(self, sender: ids.InstanceId, message: feed_messages.Message) -> None:
         """Handle a message of the feed protocol.
 
+        A request is ignored unless this instance watches the store and has all objects. A
+        snapshot is ignored if it is older than the objects of this instance. Events are ignored
+        if they begin after the revision of this instance, as changes in between would be lost.
+
         Args:
             sender: Instance that sent it.
             message: The message.
@@ -194,7 +208,7 @@
                 options=options,
                 resume_at=self._revisions.get(kind),
             )
-            for kind, options in _KINDS.items()
+            for kind, options in _WATCH_OPTIONS_BY_KIND.items()
         ]
         for watcher in self._watchers:
             watcher.start().addErrback(_log_failure)
@@ -228,33 +242,33 @@
         self._catalog.record_outage(self._reactor.seconds())
 
     def _update_handler(self, kind: str) -> object_watch.Handler:
-        return lambda message: self._handle_update(kind, message)
+        return lambda update: self._handle_update(kind, update)
 
-    def _handle_update(self, kind: str, message: object_watch.Update) -> None:
+    def _handle_update(self, kind: str, update: object_watch.Update) -> None:
         now = self._reactor.seconds()
-        if isinstance(message, object_watch.WatchFailure):
+        if isinstance(update, object_watch.WatchFailure):
             if self._catalog.store_lost_at is None:
-                logs.warning("store-unavailable", kind=kind, error=message.error)
+                logs.warning("store-unavailable", kind=kind, error=update.error)
             self._catalog.record_outage(now)
             return
         if self._catalog.store_lost_at is not None:
             outage_s = now - self._catalog.store_lost_at
             logs.event("store-answers", kind=kind, unavailable_s=round(outage_s, 3))
         self._catalog.record_answer(now)
-        if isinstance(message, object_watch.Snapshot):
-            items = tuple(_feed_object(item) for item in message.items[kind])
-            self._apply_snapshot(kind, message.revision, items)
+        if isinstance(update, object_watch.Snapshot):
+            items = tuple(_feed_object(item) for item in update.items[kind])
+            self._apply_snapshot(kind, update.revision, items)
             feed_message: feed_messages.Message = feed_messages.FeedSnapshot(
-                kind, message.revision, items
+                kind, update.revision, items
             )
         else:
-            items = tuple(_feed_object(event) for event in message.events)
-            # The watch advances without an update over changes of other kinds, so message.since
-            # can be newer than the last revision that subscribers have, and they would ignore
-            # the events.
-            since = self._revisions.get(kind, message.since)
-            self._apply_changes(kind, message.revision, items)
-            feed_message = feed_messages.FeedEvents(kind, since, message.revision, items)
+            items = tuple(_feed_object(event) for event in update.events)
+            # This is not update.since: the watch also advances past changes of other kinds,
+            # about which subscribers get no update. Their revision can be older than
+            # update.since, and they would ignore the events.
+            since = self._revisions.get(kind, update.since)
+            self._apply_changes(kind, update.revision, items)
+            feed_message = feed_messages.FeedEvents(kind, since, update.revision, items)
         for name in self._subscribers.names:
             self._peers.send(name, feed_message)
 
@@ -397,7 +411,8 @@
 ) -> list[feed_messages.FeedObject]:
     """Return the objects of a snapshot that are new or changed.
 
-    For evacuations these are all, as the set of evacuated failure domains was cleared.
+    For evacuations, all objects are returned, because the set of evacuated failure domains was
+    cleared before and is filled again from them.
 
     Args:
         kind: Kind of the objects.
--- a/src/carobhook/transport/tls.py
+++ b/src/carobhook/transport/tls.py
@@ -12,13 +12,14 @@
 
 @attrs.frozen
 class Contexts:
-    """TLS contexts by kind of connection.
+    """TLS contexts by kind of connection, as `twisted.internet.ssl.CertificateOptions`.
 
     Attributes:
-        server: Context for operators, whose clients verify the certificate of the instance.
-        peers: Context for streams between instances, both of which need a certificate of the
-            deployment's authority. The name in it is not compared, as instances are known by
-            IP address and also authenticate each other by the shared key.
+        server: Context of the operators' port. Clients verify the certificate of the instance,
+            which needs none from them.
+        peers: Context of streams between instances. Both ends need a certificate issued by the
+            deployment's authority. The name in the certificate is not checked, because
+            instances connect by IP address and also authenticate each other by the shared key.
     """
 
     server: typing.Any
@@ -35,12 +36,12 @@
     if not tls.cert:
         return None
     chain = _load_file("cert", tls.cert, _parse_certificates)
-    key = _load_file("key", tls.key, _parse_private_key)
+    private_key = _load_file("key", tls.key, _parse_private_key)
     authorities = _load_file("ca", tls.ca, _parse_certificates)
     credentials = {
-        "privateKey": key.original,
+        "privateKey": private_key.original,
         "certificate": chain[0].original,
-        "extraCertChain": [link.original for link in chain[1:]],
+        "extraCertChain": [certificate.original for certificate in chain[1:]],
     }
     try:
         server = ssl.CertificateOptions(**credentials)
@@ -54,14 +55,16 @@
     return Contexts(server, peers)
 
 
-def _load_file(key: str, name: str, parse: typing.Callable[[bytes], typing.Any]) -> typing.Any:
+def _load_file(
+    setting: str, path: str, parse: typing.Callable[[bytes], typing.Any]
+) -> typing.Any:
     try:
-        return parse(pathlib.Path(name).read_bytes())
+        return parse(pathlib.Path(path).read_bytes())
     except OSError as error:
-        raise settings.TlsFilesError(f"tls.{key}: {name}: {error.strerror}") from error
+        raise settings.TlsFilesError(f"tls.{setting}: {path}: {error.strerror}") from error
     except Exception as error:
         raise settings.TlsFilesError(
-            f"tls.{key}: {name}: not in PEM: {_error_text(error)}"
+            f"tls.{setting}: {path}: not in PEM: {_error_text(error)}"
         ) from error
 
 
--- a/tests/test_explaining.py
+++ b/tests/test_explaining.py
@@ -24,7 +24,7 @@
 
 
 class TestFailureCauses(test_entry.EntryCase):
-    """The code and the cause that the log lines give for each kind of failure."""
+    """The result code and the cause that the log lines give for each kind of failure."""
 
     async def setUp(self):
         """Start an instance, and keep its log lines."""
@@ -34,10 +34,10 @@
         await super().setUp()
 
     def trace(self, request):
-        """Return the trace of a request that is read from the log lines."""
-        found = request_trace.collect_traces(self.log.lines)
-        assert request in found, request
-        return found[request]
+        """Return the trace of a request, collected from the log lines."""
+        traces = request_trace.collect_traces(self.log.lines)
+        assert request in traces, request
+        return traces[request]
 
     def check_failure(self, request, code, *words):
         """Check the code of a failed request, and that its cause contains some words."""
@@ -49,25 +49,25 @@
             assert word in trace.cause, trace.cause
 
     async def test_no_route(self):
-        """1054 gives the path."""
+        """The cause of code 1054 names the path."""
         await self.request("/nowhere/", X_Attempt_Id="a")
         self.check_failure("a", codes.Code.NO_ROUTE, "/nowhere/")
 
     async def test_bad_header(self):
-        """1002 gives the malformed value."""
+        """The cause of code 1002 names the malformed value."""
         answer = await self.request(X_Attempt_Id="a", X_Deadline_Ms="soon")
         assert answer.status == 400
         self.check_failure("a", codes.Code.BAD_REQUEST, "soon")
 
     async def test_no_configuration(self):
-        """1051 is given while the instance has no configuration."""
+        """A request has code 1051 while the instance has no configuration."""
         self.store.remove("config", "main")
         self.daemons.append(await self.start_instance("two"))
         await self.request(X_Attempt_Id="a", instance="two")
         self.check_failure("a", codes.Code.NO_CONFIG)
 
     async def test_no_server(self):
-        """1010 gives the number of usable servers."""
+        """The cause of code 1010 gives the number of usable servers."""
         for name in self.backends:
             self.register(name, state="draining")
         server_catalog = self.daemons[0]._catalog
@@ -76,7 +76,7 @@
         self.check_failure("a", codes.Code.NO_BACKEND, "servers=0")
 
     async def test_deadline_unmeetable(self):
-        """1012 gives the numbers of running and waiting requests."""
+        """The cause of code 1012 gives the numbers of running and waiting requests."""
         self.set_behaviour(work_s=1.2)
         running = [
             defer.ensureDeferred(self.request(X_Attempt_Id=f"r{number}"))
@@ -93,19 +93,19 @@
         assert running[1] == running[2]
 
     async def test_shed(self):
-        """1014 gives the number of attempts, all of which were shed."""
+        """The cause of code 1014 gives the number of attempts, all of which were shed."""
         self.set_behaviour(shed=True)
         await self.request(X_Attempt_Id="a")
         self.check_failure("a", codes.Code.BACKEND_SHED, "2 sends")
 
     async def test_connection_reset(self):
-        """1020 gives the server and that its connection was reset."""
+        """The cause of code 1020 names the server and says that the connection was reset."""
         self.set_behaviour(reset=True)
         await self.request("/u/x", method=b"POST", X_Attempt_Id="a")
         self.check_failure("a", codes.Code.BACKEND_LOST, "i-", "reset")
 
     async def test_timeout(self):
-        """1021 gives the status of a response that arrives after the deadline."""
+        """The cause of code 1021 gives the status of a response that arrives too late."""
         self.set_behaviour(work_s=1.8)
         await self.request("/u/x", method=b"POST", X_Attempt_Id="a")
         await self.wait_until(lambda: any("work-ended-late" in line for line in self.log.lines))
@@ -114,7 +114,7 @@
         )
 
     async def test_client_disconnects(self):
-        """1019 is given to a request whose client closes its connection."""
+        """A request has code 1019 if its client closes the connection."""
         self.set_behaviour(work_s=1.0)
         head = "GET /a/x HTTP/1.1\r\nHost: shop.example\r\nX-Attempt-Id: a\r\n\r\n"
         client = await self.send_raw(head.encode(), wait_s=0.2)
@@ -123,7 +123,7 @@
         self.check_failure("a", codes.Code.CALLER_GONE)
 
     async def test_poison(self):
-        """1030 follows the log lines of the marks that quarantined the request."""
+        """A quarantined request has code 1030, and the marks before it are logged."""
         self.set_behaviour(reset=True)
         for number in range(poison.MARK_LIMIT):
             await self.request("/u/x", method=b"POST", X_Attempt_Id=f"p{number}")
@@ -133,7 +133,11 @@
         assert sum("request-marked" in line for line in self.log.lines) >= 3
 
     async def test_retry_budget_used_up(self):
-        """A request counts as failed if the retry budget does not allow its next attempt."""
+        """A request counts as failed if the client gets a server's response with status 500.
+
+        The retry is prepared in any case, but the budget, which was used up before, can refuse
+        its slot. The assertions hold whether it does or not.
+        """
         budget = (
             self.daemons[0]
             ._allocator._dispatchers.get_or_create(("north", "svc"))
--- a/tests/test_settings_watch.py
+++ b/tests/test_settings_watch.py
@@ -33,14 +33,14 @@
     """Changes of the settings file."""
 
     def test_change_is_passed_on_once(self, watched):
-        """Settings are passed on without a signal, and only if the text of the file differs."""
+        """A changed text is passed on without a signal, an unchanged one not even with it."""
         path, watch, received = watched
         watch.check()
         assert received == []
         path.write_text(TEXT.replace('ttl_max = "5s"', 'ttl_max = "4s"'))
         watch.check()
         watch.check(signalled=True)
-        assert [one.bounds.ttl_max_s for one in received] == [4.0]
+        assert [changed.bounds.ttl_max_s for changed in received] == [4.0]
 
     def test_faulty_or_missing_file_changes_nothing(self, watched):
         """Settings that are faulty or cannot be read are not passed on."""
--- a/tests/test_stuck_reader.py
+++ b/tests/test_stuck_reader.py
@@ -1,6 +1,7 @@
 """Tests that requests are not delayed while nobody reads an instance's standard output.
 
-The pipe fills up then, and an instance that blocked on writing a log line would serve nothing.
+The pipe of the output is full after some log lines. An instance that blocked on writing the
+next one would serve no requests until somebody reads.
 """
 
 import os
@@ -15,17 +16,18 @@
 from carobhook.soak import deployment
 from carobhook.transport import server_connections
 
-_RATE = 150.0
-# Each is logged in a line of a kilobyte; together they fill the pipe and the instance's buffer.
+_REQUESTS_PER_S = 150.0
+# The instance with the unread output gets half of the requests. It logs each in a line of about
+# a kilobyte; together these lines fill the pipe and the instance's buffer.
 _REQUESTS = 1500
-_SLACK_S = 0.05
+_TOLERANCE_S = 0.05
 
 
 class UnreadDeployment(deployment.Deployment):
     """A deployment whose first instance writes into a pipe that is never read."""
 
     def start_instance(self, index):
-        """Start the process of an instance; that of the first writes into the pipe."""
+        """Start the process of an instance; the first one writes into the unread pipe."""
         if index:
             super().start_instance(index)
             return
@@ -44,7 +46,10 @@
         os.close(write_end)
 
     async def wait_until_ready(self, index):
-        """Wait until an instance answers the readiness probe with 200."""
+        """Wait until an instance answers the readiness probe with 200.
+
+        The wait ends without an error after 100 attempts.
+        """
         connections = server_connections.ServerConnections(reactor, 1.0)
         address = f"127.0.0.1:{self._instance_ports[index]['readiness']}"
         head = http1.RequestHead(b"GET", b"/-/readiness", ((b"Host", b"x"),))
@@ -60,12 +65,15 @@
 
 
 class TestStuckReader(unittest.TestCase):
-    """Log lines are omitted, while every request is answered."""
+    """Log lines that cannot be written are omitted, and every request is answered."""
 
     timeout = 90
 
     async def test_unread_output_delays_no_request(self):
-        """It answers all requests, and about as fast as an instance whose output is read."""
+        """An instance whose output is not read is about as fast as one whose output is read.
+
+        Both answer all requests. The 95th percentiles of the durations are compared.
+        """
         directory = pathlib.Path(self.mktemp())
         directory.mkdir(parents=True)
         instances = UnreadDeployment(reactor, directory, 2, 6)
@@ -80,7 +88,7 @@
         unread, read = sorted(durations[::2]), sorted(durations[1::2])
         p95_index = int(0.95 * len(unread))
         assert omitted > 0
-        assert unread[p95_index] <= 1.5 * read[p95_index] + _SLACK_S, (
+        assert unread[p95_index] <= 1.5 * read[p95_index] + _TOLERANCE_S, (
             unread[p95_index],
             read[p95_index],
         )
@@ -97,11 +105,11 @@
         return float(found[0].split()[1])
 
     def call(self, instances, index, number):
-        """Send a request at its time; return a Deferred of the seconds until its response."""
+        """Schedule a request by its number; return a Deferred of the seconds it takes."""
         return defer.ensureDeferred(self._call(instances, index, number))
 
     async def _call(self, instances, index, number):
-        await task.deferLater(reactor, number / _RATE)
+        await task.deferLater(reactor, number / _REQUESTS_PER_S)
         connections = server_connections.ServerConnections(reactor, 5.0)
         address = f"127.0.0.1:{instances._instance_ports[index]['http']}"
         path = f"/nowhere-{'x' * 900}/{number}".encode()
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""Tests of carobhook.transport.tls, with certificates that they issue themselves."""
+"""Tests of carobhook.transport.tls, with certificates that the tests issue."""
 
 import datetime
 import ipaddress
@@ -23,9 +23,12 @@
 
 
 def issue(name, issuer=None):
-    """Return a new key and its certificate for 127.0.0.1.
+    """Return a new private key and its certificate for 127.0.0.1.
 
-    Without an issuer, the certificate is that of an authority.
+    Args:
+        name: Common name of the certificate.
+        issuer: Key and certificate of the authority that signs it. Without an issuer, the
+            certificate is self-signed and belongs to an authority itself.
     """
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(oid.NameOID.COMMON_NAME, name)])
@@ -46,7 +49,7 @@
 
 
 def write_files(directory, authority, certificate):
-    """Write the PEM files of a certificate and return the settings that name them."""
+    """Write a certificate, its key and its authority as PEM files; return their settings."""
     directory = pathlib.Path(directory)
     directory.mkdir(parents=True, exist_ok=True)
     pem = serialization.Encoding.PEM
@@ -97,32 +100,40 @@
     """Streams between instances."""
 
     def setUp(self):
-        """Wait until all connections have closed after the hubs are stopped."""
+        """Register the cleanup that waits until all connections have closed.
+
+        Cleanups run in reverse order, so it runs after those that stop the streams.
+        """
         self.addCleanup(lambda: defer.ensureDeferred(wait_until_disconnected()))
 
-    def hub(self, name, context, received=lambda sender, message: None):
-        """Return a hub that listens on a free port."""
+    def listen(self, name, context, on_message=lambda sender, message: None):
+        """Return the streams of a new instance that listens on a free port."""
         identity = peers.Identity(ids.InstanceId(name), ids.Incarnation("0" * 16), b"k" * 16)
-        hub = peers.PeerStreams(reactor, identity, received, peer_codec.CODEC, context=context)
-        self.addCleanup(lambda: defer.ensureDeferred(hub.stop()))
-        hub.listen("127.0.0.1", 0)
-        return hub
+        streams = peers.PeerStreams(
+            reactor, identity, on_message, peer_codec.CODEC, context=context
+        )
+        self.addCleanup(lambda: defer.ensureDeferred(streams.stop()))
+        streams.listen("127.0.0.1", 0)
+        return streams
+
+    async def exchange(self, sender_context, receiver_context, wait_s=_WAIT_S):
+        """Return the sender and the message that a new instance gets from another one.
 
-    async def exchange(self, sending, receiving, wait_s=_WAIT_S):
-        """Return the sender and the message that arrives, or None if none is sent in time."""
+        Returns None if the message cannot be sent in time.
+        """
         arrived = defer.Deferred()
 
-        def received(sender, message):
+        def on_message(sender, message):
             if not arrived.called:
                 arrived.callback((sender, message))
 
-        receiver = self.hub("receiver", receiving, received)
-        sender = self.hub("sender", sending)
+        receiver = self.listen("receiver", receiver_context, on_message)
+        sender = self.listen("sender", sender_context)
         address = receiver._own_address
         sender.connect(address)
-        message_sent = slot_messages.NotDispatcher(ids.RequestId("3"))
+        message = slot_messages.NotDispatcher(ids.RequestId("3"))
         for _ in range(int(wait_s / 0.05)):
-            if sender.send(address, message_sent) or arrived.called:
+            if sender.send(address, message) or arrived.called:
                 break
             await task.deferLater(reactor, 0.05)
         else:
@@ -130,7 +141,7 @@
         return await arrived
 
     def peer_context(self, authority):
-        """Return the context for peers with a new certificate of an authority."""
+        """Return the peer context of a new certificate that an authority issues."""
         return tls.load(write_files(self.mktemp(), authority, issue("one", authority))).peers
 
     async def test_instances_of_one_authority_exchange_messages(self):
