--- a/src/carobhook/coordination/backoff.py
+++ b/src/carobhook/coordination/backoff.py
@@ -21,7 +21,7 @@
     cap_s: float = attrs.field(default=5.0, validator=validators.gt(0))
 
     def delay_s(self, attempt: int, rng: random.Random) -> float:
-        """Return the delay after a failed attempt: half to all of its upper bound.
+        """Return a random delay after a failed attempt, from half its upper bound to all of it.
 
         Args:
             attempt: Number of failed attempts before this one.
--- a/src/carobhook/coordination/catalog.py
+++ b/src/carobhook/coordination/catalog.py
@@ -9,14 +9,21 @@
 # Servers whose entries expired during an outage of the store register again within about two
 # seconds after it; until then they stay in use.
 GRACE_PERIOD_S = 2.0
-# No entry expires during an outage shorter than this, so that an entry that is missing after it
-# was removed on purpose.
+# No entry expires during an outage shorter than this. An entry that is missing after such an
+# outage was therefore removed on purpose, and gets no grace period.
 _MIN_OUTAGE_S = 1.0
 
 
 @attrs.define
 class _KnownServer:
-    """A server's entry, and how long it stays in use while it is missing from the store."""
+    """A server's entry and the times that depend on it.
+
+    Attributes:
+        entry: Entry of the server in the store.
+        cold_until: Monotonic time in seconds until which the server is cold.
+        grace_until: Monotonic time in seconds until which the server stays in use although its
+            entry is missing from the store, or None if the entry is not missing.
+    """
 
     entry: servers.ServerEntry
     cold_until: float
@@ -25,11 +32,12 @@
 
 @attrs.frozen
 class ServerView:
-    """A backend server that may be used.
+    """A backend server that may get requests.
 
     Attributes:
         entry: Entry of the server in the store.
-        cold_until: Monotonic time in seconds until which the server is cold.
+        cold_until: Monotonic time in seconds until which the server is cold, so that the rate
+            of requests to it may be limited.
     """
 
     entry: servers.ServerEntry
@@ -55,7 +63,7 @@
     _servers: dict[ids.Server, _KnownServer] = attrs.field(factory=dict, init=False)
     _evacuated: frozenset[ids.FailureDomain] = attrs.field(default=frozenset(), init=False)
     _config: routing.RoutingConfig | None = attrs.field(default=None, init=False)
-    _lost_at: float | None = attrs.field(default=None, init=False)
+    _store_lost_at: float | None = attrs.field(default=None, init=False)
     _grace_until: float = attrs.field(default=0.0, init=False)
 
     @property
@@ -71,7 +79,7 @@
     @property
     def store_lost_at(self) -> float | None:
         """Return the monotonic time since which the store has not answered, or None."""
-        return self._lost_at
+        return self._store_lost_at
 
     def replace_config_if_newer(self, config: routing.RoutingConfig) -> bool:
         """Replace the configuration if a newer one is given; return whether it was newer."""
@@ -80,9 +88,9 @@
         self._config = config
         return True
 
-    def set_evacuated(self, zones: frozenset[ids.FailureDomain]) -> None:
+    def set_evacuated(self, domains: frozenset[ids.FailureDomain]) -> None:
         """Replace the evacuated failure domains."""
-        self._evacuated = zones
+        self._evacuated = domains
 
     def record_outage(self, now: float) -> None:
         """Record that the store does not answer.
@@ -90,8 +98,8 @@
         Args:
             now: Monotonic time in seconds.
         """
-        if self._lost_at is None:
-            self._lost_at = now
+        if self._store_lost_at is None:
+            self._store_lost_at = now
 
     def record_answer(self, now: float) -> None:
         """Record that the store answers, and begin the grace period after an outage.
@@ -99,11 +107,11 @@
         Args:
             now: Monotonic time in seconds.
         """
-        if self._lost_at is None:
+        if self._store_lost_at is None:
             return
-        if now - self._lost_at >= _MIN_OUTAGE_S:
+        if now - self._store_lost_at >= _MIN_OUTAGE_S:
             self._grace_until = now + GRACE_PERIOD_S
-        self._lost_at = None
+        self._store_lost_at = None
 
     def put(self, entry: servers.ServerEntry, now: float) -> None:
         """Add or replace a server's entry.
@@ -115,8 +123,8 @@
         known = self._servers.get(entry.name)
         cold_until = now + entry.cold_s if entry.cold_s > 0 else 0.0
         if known is not None and known.entry.cold_s == entry.cold_s:
-            # Another field changed. The cold time counts from the first entry of this start of
-            # the server, so that a change of its slots does not make it cold for longer.
+            # The server wrote another field. Unless it was restarted, its cold time counts from
+            # its first entry; otherwise, a change of its slots would make it cold for longer.
             is_same_start = known.entry.started_at_ms == entry.started_at_ms
             cold_until = known.cold_until if is_same_start else cold_until
         self._servers[entry.name] = _KnownServer(entry, cold_until)
@@ -152,7 +160,7 @@
             self.remove(name, now)
 
     def is_usable(self, name: ids.Server) -> bool:
-        """Return whether a server may get requests, which an unknown one may not."""
+        """Return whether a server is known and may get requests."""
         known = self._servers.get(name)
         if known is None:
             return False
--- a/src/carobhook/coordination/directory.py
+++ b/src/carobhook/coordination/directory.py
@@ -7,7 +7,7 @@
 
 from carobhook.state import ids, members
 
-# A client with a single address has no other to use at once when that instance fails.
+# With a single address, a client could not switch to another instance when that one fails.
 _MIN_INSTANCES = 2
 # Clients choose among their addresses at random, without regard to weights. The fewer addresses
 # each gets, the closer the load follows the weights by which the addresses are drawn.
@@ -39,25 +39,25 @@
 
 
 def choose_weighted(
-    near: Sequence[members.Member], client: str, now: float
+    nearby: Sequence[members.Member], client: str, now: float
 ) -> list[members.Member]:
     """Return the instances for one client: a random draw in proportion to their weights.
 
     The draw for a client changes every 20 seconds. If all weights are equal, all instances are
     returned.
 
-    Load pattern: machines of one failure domain have links that differ by a factor of twenty,
-    and clients choose among their addresses without regard to that.
+    Load pattern: the links of machines in one failure domain differ in bandwidth by a factor of
+    twenty, and clients choose among their addresses without regard to that.
 
     Args:
-        near: Instances that can accept the client.
+        nearby: Instances that can accept the client.
         client: Address of the client's host.
         now: Monotonic time in seconds.
     """
-    if len({member.weight for member in near}) <= 1:
-        return list(near)
+    if len({member.weight for member in nearby}) <= 1:
+        return list(nearby)
     salt = f"{client}/{now // _CHOICE_LIFETIME_S:.0f}"
-    ordered = sorted(near, key=lambda member: _weighted_key(salt, member), reverse=True)
+    ordered = sorted(nearby, key=lambda member: _weighted_key(salt, member), reverse=True)
     return ordered[:_CHOICE_SIZE]
 
 
--- a/src/carobhook/coordination/membership.py
+++ b/src/carobhook/coordination/membership.py
@@ -1,7 +1,7 @@
-"""Table of live instances, and the choice of relays and shard owners among them.
+"""Table of known instances, and the choice of relays and shard owners among the live ones.
 
-An instance is live while its heartbeats arrive. The choices depend only on the live instances,
-so all instances that know the same members choose alike.
+An instance is live while its heartbeats arrive. The choices depend only on the instances given,
+so all instances that know the same live instances choose the same relays and owners.
 """
 
 from collections.abc import Iterable, Sequence
@@ -13,9 +13,10 @@
 
 DEAD_AFTER_S = 1.4
 RELAYS_PER_REGION = 4
-# A relay has at least this fraction of the highest weight in its region, so that instances on
-# small machines do not forward the membership of others.
-_MIN_RELAY_WEIGHT = 0.5
+# Least weight of a relay, as a fraction of the highest weight in its region. Without it,
+# instances on small machines would have to forward the membership of others. Weaker instances
+# become relays only if the region has too few others.
+_MIN_RELAY_WEIGHT_FRACTION = 0.5
 
 
 @attrs.define
@@ -39,8 +40,8 @@
             member: State of the instance, as in its heartbeat.
             now: Monotonic time in seconds.
         """
-        # An equal value does not replace the stored object, so that look-ups may reuse their
-        # last answer while the members are the same objects.
+        # An equal state does not replace the stored object, so that a caller may reuse an
+        # earlier result while the members are the same objects.
         if self._members.get(member.name) != member:
             self._members[member.name] = member
         self._last_seen_at[member.name] = now
@@ -93,22 +94,23 @@
 def relays(known: Iterable[members.Member], region: ids.Region) -> list[members.Member]:
     """Return the relays of a region, in order of preference.
 
-    Relays exchange membership with other regions on behalf of their own, and may follow the
-    store for it. At most `RELAYS_PER_REGION` of its stronger instances are relays, so that
-    small machines send only their own messages; in a region of few instances, all are relays.
-    Instances that are leaving are relays only if the region has no others.
+    Relays exchange membership with other regions on behalf of their region, and one of them may
+    follow the store for it. A region has at most `RELAYS_PER_REGION` relays. They are chosen
+    among its stronger instances, so that small machines send only their own messages; if the
+    region has no more instances than that, all are relays. Instances that are leaving are
+    relays only if the region has no others.
 
     Args:
         known: Instances to choose from; those of other regions are ignored.
         region: The region.
     """
     by_name = {m.name: m for m in known if m.region == region}
-    staying = [m for m in by_name.values() if m.phase is not members.Phase.LEAVING]
-    candidates = staying or list(by_name.values())
+    not_leaving = [m for m in by_name.values() if m.phase is not members.Phase.LEAVING]
+    candidates = not_leaving or list(by_name.values())
     if not candidates:
         return []
     highest = max(member.weight for member in candidates)
-    eligible = [m.name for m in candidates if m.weight >= _MIN_RELAY_WEIGHT * highest]
+    eligible = [m.name for m in candidates if m.weight >= _MIN_RELAY_WEIGHT_FRACTION * highest]
     if len(eligible) < RELAYS_PER_REGION:
         by_weight = sorted(candidates, key=lambda m: (-m.weight, m.name))
         eligible = [m.name for m in by_weight[:RELAYS_PER_REGION]]
@@ -119,10 +121,11 @@
 def shard_owner(
     region: ids.Region, service: ids.Service, serving: Sequence[members.Member]
 ) -> ids.InstanceId | None:
-    """Return the instance that dispatches to a service's backend servers in a region.
+    """Return the instance that owns a shard: the backend servers of a service in a region.
 
-    It is a relay of the region, or an instance of any region if this one has no relay. None is
-    returned if no instance accepts new work.
+    The owner dispatches requests to these servers. It is one of the relays that the region has
+    among the given instances, or an instance of any region if none of this region is given.
+    None is returned if no instance accepts new work.
 
     Args:
         region: Region of the backend servers.
--- a/src/carobhook/coordination/membership_sync.py
+++ b/src/carobhook/coordination/membership_sync.py
@@ -1,9 +1,10 @@
 """Exchange of membership between instances through the relays of their regions.
 
 Load pattern: a fleet of many machines, some with links of a few Mbit/s, whose instances must
-know within about two seconds which others are live. Each instance sends heartbeats only to the
-relays of its region. Relays send the instances of their region to the relays of other regions,
-and all instances to their own region; an update holds only what changed.
+know within about two seconds which others are live. For this purpose, an instance that is no
+relay sends heartbeats only to the relays of its region. Relays report the instances of their
+region to the relays of other regions, and all live instances to their own region. An update
+holds only the changes since the previous one.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,17 +15,20 @@
 from carobhook.protocol import membership_messages
 from carobhook.state import ids, members
 
-# Dead instances stay in the list of peers to connect to this long: after a network partition
-# that ends sooner, the two sides find each other again.
-_REMEMBERED_S = 120.0
+# Dead instances stay in the list of peers to connect to this long. After a longer network
+# partition, the two sides no longer have each other's addresses and may not reconnect.
+_RECENT_LIFETIME_S = 120.0
 # Streams that the exchange of membership does not need are closed this long after their last
 # use.
-_IDLE_STREAM_S = 10.0
+_STREAM_IDLE_TIMEOUT_S = 10.0
 
 
 @attrs.define
 class MembershipSync:
-    """Membership as one instance knows it, and the source of each entry.
+    """Membership as one instance knows it; applies updates of others and builds its own.
+
+    It distinguishes instances whose heartbeats arrive here from those known only from updates,
+    and chooses the instances to keep streams to.
 
     Attributes:
         own: Name of this instance.
@@ -35,21 +39,21 @@
     own: ids.InstanceId
     region: ids.Region
     table: membership.Membership
-    _direct_at: dict[ids.InstanceId, float] = attrs.field(factory=dict, init=False)
-    _recent: dict[ids.InstanceId, tuple[members.Member, float]] = attrs.field(
+    _direct_heartbeat_at: dict[ids.InstanceId, float] = attrs.field(factory=dict, init=False)
+    _recently_live: dict[ids.InstanceId, tuple[members.Member, float]] = attrs.field(
         factory=dict, init=False
     )
-    _last_used_at: dict[ids.InstanceId, float] = attrs.field(factory=dict, init=False)
-    _sent: dict[ids.InstanceId, dict[ids.InstanceId, members.Member]] = attrs.field(
+    _stream_used_at: dict[ids.InstanceId, float] = attrs.field(factory=dict, init=False)
+    _sent_members: dict[ids.InstanceId, dict[ids.InstanceId, members.Member]] = attrs.field(
         factory=dict, init=False
     )
-    _received: dict[ids.InstanceId, dict[ids.InstanceId, members.Member]] = attrs.field(
+    _received_members: dict[ids.InstanceId, dict[ids.InstanceId, members.Member]] = attrs.field(
         factory=dict, init=False
     )
 
     def record_heartbeat(self, member: members.Member, now: float) -> None:
         """Record a heartbeat that came from the instance itself."""
-        self._direct_at[member.name] = now
+        self._direct_heartbeat_at[member.name] = now
         self._record(member, now)
 
     def apply_update(
@@ -57,16 +61,18 @@
     ) -> list[ids.InstanceId]:
         """Apply an update of another instance and return the instances that it removed.
 
-        Instances that send heartbeats to this one directly are left as they are.
+        Every update, even an empty one, confirms that all instances that the sender listed
+        before and has not removed are still live. Instances whose heartbeats arrive here are
+        not changed, because heartbeats take precedence over updates.
 
         Args:
-            sender: Relay, or an instance on a new stream, that sent the update.
+            sender: Instance that sent the update: a relay, or the other end of a new stream.
             message: The update.
             now: Monotonic time in seconds.
         """
         if message.is_whole:
-            self._received.pop(sender, None)
-        received = self._received.setdefault(sender, {})
+            self._received_members.pop(sender, None)
+        received = self._received_members.setdefault(sender, {})
         changed = {member.name: member for member in message.members}
         received.update(changed)
         removed = []
@@ -86,16 +92,17 @@
         return removed
 
     def _is_removable(self, name: ids.InstanceId, now: float) -> bool:
-        """Return whether to remove a known instance that a relay lists as lost.
+        """Return whether to remove an instance that an update lists as lost.
 
-        Heartbeats that this instance receives itself take precedence over the update.
+        It must be known, and known only from updates: heartbeats that arrive here take
+        precedence.
         """
         if name == self.own or self.has_direct_heartbeat(name, now):
             return False
         return self.table.get(name) is not None
 
     def remove(self, name: ids.InstanceId, now: float) -> None:
-        """Remove an instance, but remember it so that streams to it are tried again.
+        """Remove an instance, but keep its address so that streams to it are opened again.
 
         Args:
             name: The instance.
@@ -103,33 +110,33 @@
         """
         member = self.table.get(name)
         if member is not None:
-            self._recent[name] = (member, now)
+            self._recently_live[name] = (member, now)
         self.table.remove(name)
-        self._direct_at.pop(name, None)
-        self._sent.pop(name, None)
-        self._received.pop(name, None)
+        self._direct_heartbeat_at.pop(name, None)
+        self._sent_members.pop(name, None)
+        self._received_members.pop(name, None)
 
     def record_stream_closing(self, name: ids.InstanceId) -> None:
-        """Record that an instance closes its stream and is known only from relays now.
+        """Record that an instance closes its stream, and is now known only from updates.
 
-        Without this, the end of the stream would count as the end of the instance.
+        Without this, the end of the stream would be taken for a failure of the instance.
         """
-        self._direct_at.pop(name, None)
+        self._direct_heartbeat_at.pop(name, None)
 
     def reset_updates(self, name: ids.InstanceId) -> None:
         """Make the next update to an instance a full one, because it has a new stream.
 
         The instance may not have what was sent on earlier streams.
         """
-        self._sent.pop(name, None)
+        self._sent_members.pop(name, None)
 
     def record_use(self, name: ids.InstanceId, now: float) -> None:
         """Record that the stream to an instance was used, which keeps it open for a while."""
-        self._last_used_at[name] = now
+        self._stream_used_at[name] = now
 
     def has_direct_heartbeat(self, name: ids.InstanceId, now: float) -> bool:
-        """Return whether an instance is live by heartbeats received from itself."""
-        at = self._direct_at.get(name)
+        """Return whether an instance is live according to heartbeats that arrived here."""
+        at = self._direct_heartbeat_at.get(name)
         return at is not None and now - at <= self.table.dead_after_s
 
     def is_relay(self, now: float) -> bool:
@@ -139,9 +146,9 @@
     def visible_share(self, region: ids.Region, now: float) -> float:
         """Return the fraction of a region's recently known instances that are live.
 
-        Instances that announced that they leave do not count as missing. If no instance of the
-        region is live, an instance of another region may dispatch in its place; it is counted
-        as one live instance in addition to the known ones.
+        Instances that were leaving when they were last seen do not count as missing. If no
+        instance of the region is live, an instance of another region may dispatch for it. That
+        instance counts as the only live one, in addition to the known ones.
 
         Args:
             region: The region.
@@ -163,36 +170,40 @@
     def stream_addresses(self, now: float) -> list[str]:
         """Return the peer addresses to which this instance keeps streams, sorted.
 
-        These are the relays of its region, or of all regions and its whole region if it is a
-        relay itself, and the instances whose streams were used lately.
+        An instance that is no relay keeps streams to the relays of its region; a relay, to the
+        relays of all regions and to every instance of its own. Streams that were used recently
+        are kept as well.
 
         Args:
             now: Monotonic time in seconds.
         """
         known = self._recent_members(now)
-        found: dict[ids.InstanceId, members.Member] = {}
+        selected: dict[ids.InstanceId, members.Member] = {}
         regions = {member.region for member in known}
         as_relay = self.is_relay(now)
         for region in regions if as_relay else {self.region}:
-            # Dead relays are tried as well as their successors, so that regions find each other
-            # again after a network partition.
+            # Dead relays are included beside their successors. Otherwise, regions that were
+            # separated by a network partition would not reconnect after it.
             for candidates in (self.table.live(now), known):
-                found.update((m.name, m) for m in membership.relays(candidates, region))
+                selected.update((m.name, m) for m in membership.relays(candidates, region))
         if as_relay:
-            found.update((m.name, m) for m in known if m.region == self.region)
+            selected.update((m.name, m) for m in known if m.region == self.region)
         for member in known:
-            if now - self._last_used_at.get(member.name, -_IDLE_STREAM_S) < _IDLE_STREAM_S:
-                found[member.name] = member
-        found.pop(self.own, None)
-        return sorted(member.peers for member in found.values())
+            if (
+                now - self._stream_used_at.get(member.name, -_STREAM_IDLE_TIMEOUT_S)
+                < _STREAM_IDLE_TIMEOUT_S
+            ):
+                selected[member.name] = member
+        selected.pop(self.own, None)
+        return sorted(member.peers for member in selected.values())
 
     def next_updates(
         self, now: float
     ) -> Mapping[ids.InstanceId, membership_messages.RosterUpdate]:
         """Return the updates that this instance now sends as a relay, by receiver.
 
-        The result is empty if it is no relay. The updates count as sent: the next ones hold
-        only what changed after them.
+        The result is empty if it is no relay. The caller must send the updates, as later ones
+        hold only the changes since these.
 
         Args:
             now: Monotonic time in seconds.
@@ -201,27 +212,29 @@
         own_relays = self._relay_names(live, self.region)
         if self.own not in own_relays:
             return {}
-        direct = [m for m in live if m.region == self.region and self._is_first_hand(m, now)]
-        found: dict[ids.InstanceId, membership_messages.RosterUpdate] = {}
+        direct = [
+            m for m in live if m.region == self.region and self._is_known_directly(m, now)
+        ]
+        updates: dict[ids.InstanceId, membership_messages.RosterUpdate] = {}
         for member in live:
             if member.region == self.region and member.name not in own_relays:
-                found[member.name] = self._build_update(member.name, live)
+                updates[member.name] = self._build_update(member.name, live)
         for region in {member.region for member in live} - {self.region}:
             for name in self._relay_names(live, region):
-                # Relays of other regions get only what this relay knows at first hand, as
-                # updates that relays passed on to each other would circulate without end.
-                found[name] = self._build_update(name, direct)
-        return found
+                # Relays of other regions get only the instances whose heartbeats arrive here.
+                # If relays forwarded each other's updates, these would circulate without end.
+                updates[name] = self._build_update(name, direct)
+        return updates
 
-    def _is_first_hand(self, member: members.Member, now: float) -> bool:
+    def _is_known_directly(self, member: members.Member, now: float) -> bool:
         return member.name == self.own or self.has_direct_heartbeat(member.name, now)
 
     def _build_update(
         self, receiver: ids.InstanceId, live: Iterable[members.Member]
     ) -> membership_messages.RosterUpdate:
         """Return the changes since the last update to an instance, and record them as sent."""
-        is_whole = receiver not in self._sent
-        sent = self._sent.setdefault(receiver, {})
+        is_whole = receiver not in self._sent_members
+        sent = self._sent_members.setdefault(receiver, {})
         others = {member.name: member for member in live if member.name != receiver}
         changed = tuple(member for name, member in others.items() if sent.get(name) != member)
         removed = tuple(name for name in sent if name not in others)
@@ -232,15 +245,17 @@
 
     def _record(self, member: members.Member, now: float) -> None:
         self.table.record_heartbeat(member, now)
-        self._recent[member.name] = (member, now)
+        self._recently_live[member.name] = (member, now)
 
     def _recent_members(self, now: float) -> list[members.Member]:
-        """Return the live instances, and those that were live in the last two minutes."""
+        """Return the instances that are live or were within the last `_RECENT_LIFETIME_S`."""
         for member in self.table.live(now):
-            self._recent[member.name] = (member, now)
-        for name in [n for n, (_, at) in self._recent.items() if now - at > _REMEMBERED_S]:
-            del self._recent[name]
-        return [member for member, _ in self._recent.values()]
+            self._recently_live[member.name] = (member, now)
+        for name in [
+            n for n, (_, at) in self._recently_live.items() if now - at > _RECENT_LIFETIME_S
+        ]:
+            del self._recently_live[name]
+        return [member for member, _ in self._recently_live.values()]
 
     def _relay_names(
         self, known: Iterable[members.Member], region: ids.Region
--- a/src/carobhook/coordination/object_watch.py
+++ b/src/carobhook/coordination/object_watch.py
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class Snapshot:
-    """All objects of the watched kinds; they replace all that were received before.
+    """All objects of the watched kinds, which replace all objects received before.
 
     Attributes:
         items: The objects by kind.
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class Changes:
-    """Changes since the last listing or the changes before, in the order of their versions.
+    """Changes after the previous `Snapshot` or `Changes`, in the order of their versions.
 
     Attributes:
         events: The changes.
@@ -57,8 +57,8 @@
     Attributes:
         wait_s: Seconds that one call waits for an event.
         delays: Delays before the next call after failures.
-        batch_delay_s: Seconds between the events of one call and the next call, which returns
-            all events of that time in one batch.
+        batch_delay_s: Seconds to wait after a call that returned events before the next call.
+            Events of that time are returned together, which saves calls.
     """
 
     wait_s: float = attrs.field(default=5.0, validator=validators.gt(0))
@@ -78,9 +78,10 @@
         clock: Reactor, or `twisted.internet.task.Clock`.
         rng: Source of the jitter.
         kinds: Kinds to watch.
-        handler: Called with every message; must not raise.
+        handler: Called with every update; must not raise.
         options: Waits and delays.
-        resume_at: Revision up to which the caller has the objects already; None lists them.
+        resume_at: Revision up to which the caller has the objects already, or None to list
+            them first.
     """
 
     def __init__(
@@ -101,17 +102,17 @@
         self._handler = handler
         self._options = options or WatchOptions()
         self._since = resume_at
-        self._listed_at: dict[str, int] = dict.fromkeys(self._kinds, resume_at or 0)
+        self._listed_revisions: dict[str, int] = dict.fromkeys(self._kinds, resume_at or 0)
         self._failures = 0
         self._running: defer.Deferred[None] | None = None
 
     @property
     def since(self) -> int | None:
-        """Return the revision up to which the handler has all changes, or None if unlisted."""
+        """Return the revision up to which all changes were handled, or None if unknown."""
         return self._since
 
     def start(self) -> defer.Deferred[None]:
-        """Start; the returned Deferred fires on `stop`, or fails if the handler raises."""
+        """Start watching; the Deferred fires on `stop`, or fails if the handler raises."""
         self._running = defer.ensureDeferred(self._run())
         stopped: defer.Deferred[None] = defer.Deferred()
         self._running.addErrback(lambda failure: failure.trap(defer.CancelledError) and None)
@@ -141,7 +142,13 @@
             await self._list()
             return
         batch = await self._store.watch(self._kinds, self._since, self._options.wait_s)
-        new = [event for event in batch.events if event.version > self._listed_at[event.kind]]
+        # Kinds are listed one after another, and the watch resumes at the lowest of their
+        # revisions. The later listings hold some of the events already.
+        new = [
+            event
+            for event in batch.events
+            if event.version > self._listed_revisions[event.kind]
+        ]
         if new:
             self._handler(Changes(tuple(new), self._since, batch.revision))
         self._since = batch.revision
@@ -152,7 +159,7 @@
         listings = {}
         for kind in self._kinds:
             listings[kind] = await self._store.list(kind)
-        self._listed_at = {kind: listings[kind].revision for kind in self._kinds}
-        self._since = min(self._listed_at.values())
+        self._listed_revisions = {kind: listings[kind].revision for kind in self._kinds}
+        self._since = min(self._listed_revisions.values())
         items = {kind: listing.items for kind, listing in listings.items()}
         self._handler(Snapshot(items, self._since))
--- a/src/carobhook/coordination/poison.py
+++ b/src/carobhook/coordination/poison.py
@@ -9,9 +9,10 @@
 from carobhook.state import ids
 
 MARK_LIFETIME_S = 600.0
-# A request is refused after this many broken connections without a complete answer.
+# A request is refused after this many broken connections without a complete response.
 MARK_LIMIT = 3
-_MAX_MARKED = 10_000
+# Limits of memory use; beyond them, the oldest entries are dropped.
+_MAX_MARKED_REQUESTS = 10_000
 _MAX_SEEN_MARKS = 20_000
 
 Fingerprint = bytes
@@ -23,9 +24,9 @@
 
     Attributes:
         fingerprint: Fingerprint of the request.
-        name: Unique name of the event.
+        name: Unique name of the mark.
         source: Instance that had the connection.
-        expires_at: Monotonic time in seconds, by the clock of the instance that holds this.
+        expires_at: Monotonic time in seconds, by the clock of the instance that stores it.
     """
 
     fingerprint: Fingerprint
@@ -49,7 +50,7 @@
     """Marks of requests from this instance and its peers.
 
     Load pattern: clients repeat a request that breaks every server that runs it, and send it to
-    any instance. It is refused once it has enough marks; a complete answer removes them.
+    any instance. It is refused once it has enough marks; a complete response removes them.
 
     Attributes:
         own: Name of this instance.
@@ -78,7 +79,7 @@
         return len(self._live_marks(fingerprint, now)) >= self.mark_limit
 
     def clear(self, fingerprint: Fingerprint) -> bool:
-        """Remove the marks of a completely answered request; return whether it had any."""
+        """Remove a request's marks after a complete response; return whether it had any."""
         return self._marks.pop(fingerprint, None) is not None
 
     def record_failure(self, fingerprint: Fingerprint, name: str, now: float) -> Mark:
@@ -86,7 +87,7 @@
 
         Args:
             fingerprint: Fingerprint of the request that the server ran.
-            name: Unique name of the event.
+            name: Unique name of the mark.
             now: Monotonic time in seconds.
         """
         mark = Mark(fingerprint, name, self.own, now + MARK_LIFETIME_S)
@@ -106,7 +107,7 @@
         if len(self._seen_marks) > _MAX_SEEN_MARKS:
             self._seen_marks.popitem(last=False)
         self._marks.setdefault(mark.fingerprint, {})[mark.name] = mark
-        if len(self._marks) > _MAX_MARKED:
+        if len(self._marks) > _MAX_MARKED_REQUESTS:
             del self._marks[next(iter(self._marks))]
         return True
 
--- a/src/carobhook/coordination/store_feed.py
+++ b/src/carobhook/coordination/store_feed.py
@@ -1,10 +1,11 @@
 """Choice of the instance that follows the store for a region and feeds its changes to others.
 
 Load pattern: every change of an object costs a call for each instance that watches it, so one
-instance of a region watches the store and sends the changes to the others. They rely on its
-feed only while it sends progress messages, several times a second: these say that the store
-answers it, and up to which revisions it has sent every change. Without progress messages each
-instance follows the store itself.
+instance of a region watches the store and sends the changes to the others. It also sends
+progress messages several times a second. A progress message says that the store still responds
+to the sender, and up to which revision of each kind of object it has sent every change. An
+instance relies on the feed only while these messages arrive; otherwise, it follows the store
+itself.
 """
 
 import math
@@ -15,18 +16,21 @@
 from carobhook.coordination import membership
 from carobhook.state import ids, members
 
-# Progress messages are sent this often, and a feed counts as fresh this long after each.
+# Interval between progress messages.
 PROGRESS_INTERVAL_S = 0.3
+# A feed counts as fresh this long after a progress message.
 _PROGRESS_LIFETIME_S = 1.0
-# Least time between two subscriptions to a feed that is not fresh.
+# Least time between two subscription requests while a feed is not fresh.
 _SUBSCRIBE_INTERVAL_S = 0.6
-# Progress messages are sent only while the last answer of the store is not older than this.
+# Progress messages are sent only if the store's last answer is at most this old.
 _ANSWER_LIFETIME_S = 1.1
-# A starting instance waits before it lists the store, so that a fleet that starts at once does
-# not list it from every machine. A relay waits for heartbeats of others, any instance for the
-# feed of one that is ready, and an instance that is no relay for a relay to become ready.
+# A starting instance waits before it lists the store's objects. Otherwise, every machine of a
+# fleet that starts at once would list them. The waits count from its start.
+# A relay waits this long for the heartbeat of an instance that can follow the store.
 _HEARTBEAT_WAIT_S = 0.3
+# An instance that knows such an instance waits this long for its feed.
 _FIRST_FEED_WAIT_S = 1.0
+# An instance that is no relay waits this long for such an instance to become ready.
 _RELAY_WAIT_S = 2.5
 
 
@@ -59,8 +63,8 @@
 
     Attributes:
         direct: Whether it follows the store itself.
-        source: Instance whose feed replaces the store, or None.
-        subscribe_to: Instance to whose feed it now subscribes, or None.
+        source: Instance whose feed it uses in place of the store, or None.
+        subscribe_to: Instance to whose feed it must subscribe now, or None.
     """
 
     direct: bool
@@ -102,12 +106,15 @@
         is_complete: bool,
         now: float,
     ) -> SourceDecision:
-        """Return the source to use now; a subscription in it counts as sent.
+        """Return the source to use now.
+
+        The caller must send a subscription request to `SourceDecision.subscribe_to`, as the
+        next one is due only after an interval.
 
         Args:
             candidates: Instances that can follow the store, in order of preference.
             relays: Relays of the region, ready or not.
-            is_complete: Whether this instance has had all objects once.
+            is_complete: Whether this instance has received the objects of every kind.
             now: Monotonic time in seconds.
         """
         if self._started_at is None:
@@ -148,7 +155,10 @@
         self._names.add(name)
 
     def due(self, now: float) -> list[ids.InstanceId]:
-        """Return the subscribers if a progress message to them is due, which counts as sent.
+        """Return the subscribers to which to send a progress message now.
+
+        The list is empty until `PROGRESS_INTERVAL_S` after the last messages. The caller must
+        send the messages, as the next interval begins with this call.
 
         Args:
             now: Monotonic time in seconds.
--- a/tests/test_membership_sync.py
+++ b/tests/test_membership_sync.py
@@ -8,12 +8,12 @@
 from carobhook.protocol import membership_messages, peer_codec
 from carobhook.state import ids, members
 
-BEAT_S = 0.4
+HEARTBEAT_INTERVAL_S = 0.4
 REGIONS = ("north", "south", "west")
 
 
 def member(name, region, weight=1.0, phase=members.Phase.READY, run="0"):
-    """Return a member."""
+    """Return a member whose addresses and failure domain follow from its name and region."""
     return members.Member(
         ids.InstanceId(name),
         ids.Incarnation(run * 16),
@@ -28,7 +28,7 @@
 
 
 class Fleet:
-    """Membership of many instances, which keep streams to the addresses that they ask for.
+    """Simulated instances, which send messages to the addresses that they keep streams to.
 
     Messages arrive at once. Instances that are down send and receive none, and messages between
     the two sides of a partition are lost. Each instance starts with a few seeds.
@@ -72,24 +72,24 @@
             if instance.table.get(message.member.name) is None:
                 instance.record_use(message.member.name, self.now)
                 live = tuple(m for m in instance.table.live(self.now) if m.name != receiver)
-                known = membership_messages.RosterUpdate(live, (), True)
+                roster = membership_messages.RosterUpdate(live, (), True)
                 instance.record_heartbeat(message.member, self.now)
-                self.send(receiver, sender, known)
+                self.send(receiver, sender, roster)
             instance.record_heartbeat(message.member, self.now)
         else:
             instance.apply_update(sender, message, self.now)
 
-    def beat(self):
+    def send_heartbeats(self):
         """Let every instance send its heartbeats and updates once."""
-        self.now += BEAT_S
+        self.now += HEARTBEAT_INTERVAL_S
         for name, instance in self.instances.items():
             if name in self.down:
                 continue
             own = self.members[name]
             instance.table.record_heartbeat(own, self.now)
             live = {m.name for m in instance.table.live(self.now)}
-            for known in [n for n in instance.table._members if n not in live]:
-                instance.remove(known, self.now)
+            for dead in [n for n in instance.table._members if n not in live]:
+                instance.remove(dead, self.now)
             targets = {
                 self.by_address[address] for address in instance.stream_addresses(self.now)
             }
@@ -102,8 +102,8 @@
 
     def run(self, seconds):
         """Simulate some seconds."""
-        for _ in range(round(seconds / BEAT_S)):
-            self.beat()
+        for _ in range(round(seconds / HEARTBEAT_INTERVAL_S)):
+            self.send_heartbeats()
 
     def unknown_pairs(self):
         """Return pairs of connected instances of which the first does not know the second."""
@@ -117,7 +117,7 @@
         ]
 
     def dead_pairs(self):
-        """Return pairs of a running and a stopped instance that the first takes for live."""
+        """Return pairs of a running and a stopped instance that the first counts as live."""
         return [
             (name, m.name)
             for name, instance in self.instances.items()
@@ -132,7 +132,7 @@
 
     @pytest.mark.parametrize("count", [2, 9, 30, 85])
     def test_all_instances_know_each_other_after_the_start(self, count):
-        """With two of three seeds down, every instance is known after seconds."""
+        """With up to two of three seeds down, all know each other within 3.2 seconds."""
         fleet = Fleet(count)
         fleet.down = set(fleet.seeds[: min(2, count - 2)])
         fleet.run(3.2)
@@ -154,7 +154,7 @@
         assert fleet.unknown_pairs() == []
 
     def test_regions_reconnect_after_a_partition(self):
-        """Regions know each other again within seconds after a partition of a minute."""
+        """Regions know each other again 3.2 seconds after a partition of a minute."""
         fleet = Fleet(85)
         fleet.run(4.0)
         fleet.partition = {name for name, m in fleet.members.items() if m.region == "south"}
@@ -173,17 +173,17 @@
         name = "i050"
         fleet.members[name] = member(name, fleet.members[name].region, run="1")
         fleet.instances[name] = fleet.create(name)
-        fleet.now += BEAT_S
+        fleet.now += HEARTBEAT_INTERVAL_S
         fleet.run(2.0)
-        seen = {r.table.get(name).incarnation for r in fleet.instances.values()}
-        assert seen == {"1" * 16}
+        known = {i.table.get(name).incarnation for i in fleet.instances.values()}
+        assert known == {"1" * 16}
 
     def test_no_instance_is_removed_without_a_failure(self):
         """No instance counts as dead during two minutes without failures."""
         fleet = Fleet(30)
         fleet.run(4.0)
         for _ in range(300):
-            fleet.beat()
+            fleet.send_heartbeats()
             assert fleet.unknown_pairs() == []
 
 
@@ -191,7 +191,7 @@
     """How many bytes instances send, by the size of the fleet."""
 
     def test_small_machines_send_few_bytes_in_any_fleet(self):
-        """An instance that is no relay sends to four others in a fleet of any size."""
+        """Weak instances are no relays, and send under 4 kB/s to the four of their region."""
         fleet = Fleet(85, weights=(100.0, 5.0))
         fleet.run(12.0)
         fleet.bytes_sent.clear()
@@ -199,12 +199,12 @@
         small = [n for n, m in fleet.members.items() if m.weight == 5.0]
         assert max(fleet.bytes_sent[name] for name in small) / 20.0 < 4_000
         assert max(fleet.bytes_sent.values()) / 20.0 < 150_000
-        strong = [
+        relay_weights = [
             m.weight
             for region in REGIONS
             for m in membership.relays(fleet.members.values(), region)
         ]
-        assert set(strong) == {100.0}
+        assert set(relay_weights) == {100.0}
 
     def test_traffic_grows_slower_than_the_square_of_the_fleet(self):
         """Four times as many instances send less than eight times as many bytes."""
--- a/tests/test_object_watch.py
+++ b/tests/test_object_watch.py
@@ -31,7 +31,7 @@
         watcher.start()
         return watcher
 
-    def take_received(self) -> list[object]:
+    def pop_received(self) -> list[object]:
         """Return summaries of the updates received since the last call."""
         updates, self.received[:] = list(self.received), []
         return [part for update in updates for part in _summarize(update)]
@@ -39,52 +39,52 @@
     def test_listing_is_followed_by_changes(self):
         """The handler gets all objects of each kind once, then each change."""
         self.watch()
-        first = self.take_received()
+        first = self.pop_received()
         self.engine.create("l", "b", 2, 0.0)
         self.engine.delete("k", "a", 1, 0.0)
         self.clock.advance(20.0)
 
         assert first == [("k", ["a"]), ("l", [])]
-        assert self.take_received() == [("l", "b", 2), ("k", "a", None)]
+        assert self.pop_received() == [("l", "b", 2), ("k", "a", None)]
 
     def test_watch_resumes_after_an_outage_without_loss_or_repeats(self):
         """After an outage the watch resumes at the revision that it had reached."""
         self.watch()
         self.engine.create("k", "b", 2, 0.0)
-        self.take_received()
+        self.pop_received()
         self.access.down = True
         self.engine.create("k", "c", 3, 0.0)
         self.clock.pump([0.5] * 10)
-        interrupted = self.take_received()
+        interrupted = self.pop_received()
         self.access.down = False
         self.clock.advance(6.0)
 
         assert set(interrupted) == {objects.UnavailableError}
         assert 3 <= len(interrupted) <= 8
-        assert self.take_received() == [("k", "c", 3)]
+        assert self.pop_received() == [("k", "c", 3)]
 
     def test_expired_events_lead_to_a_new_listing(self):
         """All kinds are listed again if the store no longer keeps the events of an outage."""
         self.watch()
-        self.take_received()
+        self.pop_received()
         self.access.down = True
         for index in range(5):
             self.engine.create("l", f"n{index}", index, 0.0)
-        self.take_received()
+        self.pop_received()
         self.access.down = False
         self.clock.advance(6.0)
 
-        assert self.take_received()[-2:] == [("k", ["a"]), ("l", [f"n{i}" for i in range(5)])]
+        assert self.pop_received()[-2:] == [("k", ["a"]), ("l", [f"n{i}" for i in range(5)])]
 
     def test_stop_cancels_all_timers(self):
         """A stopped watcher has no timers and passes on no changes."""
         watcher = self.watch()
-        self.take_received()
+        self.pop_received()
 
         watcher.stop()
         self.engine.create("k", "b", 2, 0.0)
 
-        assert self.take_received() == []
+        assert self.pop_received() == []
         assert not self.clock.getDelayedCalls()
 
 
--- a/tests/test_store_feed.py
+++ b/tests/test_store_feed.py
@@ -49,8 +49,8 @@
 class TestSourceSelector:
     """From which source an instance gets the store's changes."""
 
-    def test_only_or_first_candidate_follows_the_store(self):
-        """An instance follows the store without candidates, or if it is the first of them."""
+    def test_store_is_followed_without_candidates_or_by_the_first(self):
+        """An instance follows the store if there is no candidate, or if it is the first."""
         selector = store_feed.SourceSelector(OWN)
         assert selector.decide([], RELAYS, True, 0.0).direct
         assert selector.decide([OWN, OTHER], RELAYS, True, 0.0).direct
@@ -65,7 +65,7 @@
         assert not selector.decide([OTHER], RELAYS, True, 0.2).direct
 
     def test_stale_feed_is_dropped_within_two_seconds(self):
-        """Missing progress messages, or missing changes, lead back to the store."""
+        """Without progress messages, or if changes are missing, the store is followed again."""
         selector = store_feed.SourceSelector(OWN)
         selector.record_progress(OTHER, True, 0.0)
         assert not selector.decide([OTHER], RELAYS, True, 0.9).direct
@@ -129,8 +129,8 @@
         self.engine = engine
         self.known = {name: catalog.Catalog() for name in (OWN, OTHER)}
         self.follow_by_name = {name: self.follow(name) for name in (OWN, OTHER)}
-        for one in self.follow_by_name.values():
-            one.start()
+        for follower in self.follow_by_name.values():
+            follower.start()
         self.run(3.0)
 
     def follow(self, name):
@@ -154,8 +154,8 @@
         """Simulate some seconds."""
         for _ in range(round(seconds * 10)):
             self.clock.advance(0.1)
-            for one in self.follow_by_name.values():
-                one.tick()
+            for follower in self.follow_by_name.values():
+                follower.tick()
 
     def test_subscriber_makes_no_calls_when_objects_change(self):
         """The feed stays complete when objects of several kinds change in turn."""
