--- a/src/carobhook/coordination/membership_sync.py
+++ b/src/carobhook/coordination/membership_sync.py
@@ -130,7 +130,7 @@
         """
         self._sent_members.pop(name, None)
 
-    def record_use(self, name: ids.InstanceId, now: float) -> None:
+    def record_stream_use(self, name: ids.InstanceId, now: float) -> None:
         """Record that the stream to an instance was used, which keeps it open for a while."""
         self._stream_used_at[name] = now
 
--- a/src/carobhook/transport/member_streams.py
+++ b/src/carobhook/transport/member_streams.py
@@ -104,7 +104,7 @@
         member = self.membership.get(name)
         if member is None:
             return False
-        self._sync.record_use(name, self._reactor.seconds())
+        self._sync.record_stream_use(name, self._reactor.seconds())
         if self._peers.send(member.peers, message):
             return True
         self._peers.connect(member.peers)
@@ -198,7 +198,7 @@
         if before is None:
             # It may not know any other instance yet. Recording a use opens a stream to it, on
             # which this instance sends its roster.
-            self._sync.record_use(member.name, now)
+            self._sync.record_stream_use(member.name, now)
         self._report_change(before, member)
 
     def _handle_update(
--- a/tests/test_membership_sync.py
+++ b/tests/test_membership_sync.py
@@ -70,7 +70,7 @@
         instance = self.instances[receiver]
         if isinstance(message, membership_messages.Heartbeat):
             if instance.table.get(message.member.name) is None:
-                instance.record_use(message.member.name, self.now)
+                instance.record_stream_use(message.member.name, self.now)
                 live = tuple(m for m in instance.table.live(self.now) if m.name != receiver)
                 roster = membership_messages.RosterUpdate(live, (), True)
                 instance.record_heartbeat(message.member, self.now)
