--- a/src/carobhook/transport/__init__.py
+++ b/src/carobhook/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Transport layer: sockets, timers and signals."""
+"""Transport layer: sockets, timers, and the parts of the entry daemon that use them."""
--- a/src/carobhook/transport/member_streams.py
+++ b/src/carobhook/transport/member_streams.py
@@ -1,4 +1,4 @@
-"""Streams to the other instances, and the table of live instances that they keep current."""
+"""Streams to the other instances, and the table of live instances that is updated over them."""
 
 import typing
 from collections.abc import Callable
@@ -11,14 +11,15 @@
 from carobhook.state import ids, members
 from carobhook.transport import peers
 
-# Streams to seeds are kept for this long after the seeds were set, even if other instances are
-# known.
+# Streams to seeds are kept for at least this long after the seeds were set. Otherwise, if other
+# instances are live already, the next heartbeat would close them before the instances at these
+# addresses are known.
 _KEEP_SEEDS_S = 10.0
 
 
 @attrs.frozen
 class MembershipCallbacks:
-    """Functions to call for messages and for changes of the members.
+    """Functions that `MemberStreams` calls for messages and for changes of the members.
 
     Attributes:
         on_message: Called with the sender and each message that is not about membership.
@@ -57,7 +58,7 @@
         self._own = identity.name
         self._own_state = own_state
         self._callbacks = callbacks
-        self._live: set[ids.InstanceId] = set()
+        self._reported_live: set[ids.InstanceId] = set()
         self._seeds: tuple[str, ...] = ()
         self._seeds_set_at = 0.0
         self.membership = membership.Membership(identity.name, membership.DEAD_AFTER_S)
@@ -69,7 +70,7 @@
             identity,
             self._handle_message,
             peer_codec.CODEC,
-            self._send_introduction,
+            self._send_initial_state,
             context=context,
             on_lost=self._handle_stream_end,
         )
@@ -115,12 +116,12 @@
         self._peers.broadcast(message)
 
     def send_heartbeats(self) -> None:
-        """Send heartbeats and updates, and remove the instances whose heartbeats stopped."""
+        """Remove the instances whose heartbeats stopped, and send heartbeats and updates."""
         now = self._reactor.seconds()
         member = self._own_state()
         self.membership.record_heartbeat(member, now)
         self._remove_dead()
-        self._peers.keep_only(self._stream_addresses(now))
+        self._peers.set_addresses(self._stream_addresses(now))
         self._peers.broadcast(membership_messages.Heartbeat(member))
         for name, message in self._sync.next_updates(now).items():
             receiver = self.membership.get(name)
@@ -148,14 +149,15 @@
         return addresses
 
     def _remove_dead(self) -> None:
+        """Remove the instances that are no longer live, and call the callbacks for them."""
         now = self._reactor.seconds()
         live = {member.name for member in self.membership.live(now)}
-        for name in self._live - live:
+        for name in self._reported_live - live:
             logs.warning("member-lost", member=name, reason="silent")
             self._sync.remove(name, now)
             self._callbacks.on_lost(name)
-        if live != self._live:
-            self._live = live
+        if live != self._reported_live:
+            self._reported_live = live
             self._callbacks.on_change()
 
     def _handle_stream_end(self, name: ids.InstanceId) -> None:
@@ -170,8 +172,8 @@
         self._sync.remove(name, now)
         self._remove_dead()
 
-    def _send_introduction(self, address: str) -> None:
-        """Send this instance's heartbeat and its whole roster on a new stream."""
+    def _send_initial_state(self, address: str) -> None:
+        """Send this instance's heartbeat and all other live instances on a new stream."""
         now = self._reactor.seconds()
         live = self.membership.live(now)
         for member in live:
@@ -197,9 +199,9 @@
         self._sync.record_heartbeat(member, now)
         if before is None:
             # It may not know any other instance yet. Recording a use opens a stream to it, on
-            # which this instance sends its roster.
+            # which this instance sends all live instances.
             self._sync.record_use(member.name, now)
-        self._report_change(before, member)
+        self._notify_change(before, member)
 
     def _handle_update(
         self, sender: ids.InstanceId, message: membership_messages.RosterUpdate
@@ -212,21 +214,24 @@
             logs.warning("member-lost", member=name, reason="relay")
         for member in message.members:
             if self.membership.get(member.name) == member:
-                self._report_change(before[member.name], member)
+                self._notify_change(before[member.name], member)
         if removed:
             for name in removed:
-                self._live.discard(name)
+                self._reported_live.discard(name)
                 self._callbacks.on_lost(name)
             self._callbacks.on_change()
 
-    def _report_change(self, before: members.Member | None, member: members.Member) -> None:
-        """Report an instance that is new, was restarted or changed its phase."""
+    def _notify_change(self, before: members.Member | None, member: members.Member) -> None:
+        """Call the callbacks for an instance that is new, was restarted or changed its phase.
+
+        A new instance may need a stream, so streams are updated before `on_change` is called.
+        """
         if before is None or before.incarnation != member.incarnation:
             logs.event("member-seen", member=member.name, phase=member.phase)
             if before is not None:
                 self._callbacks.on_lost(member.name)
-        self._live.add(member.name)
+        self._reported_live.add(member.name)
         if before is None:
-            self._peers.keep_only(self._stream_addresses(self._reactor.seconds()))
+            self._peers.set_addresses(self._stream_addresses(self._reactor.seconds()))
         if before is None or before.phase is not member.phase:
             self._callbacks.on_change()
--- a/src/carobhook/transport/peers.py
+++ b/src/carobhook/transport/peers.py
@@ -15,11 +15,12 @@
 from carobhook.state import ids
 from carobhook.transport import sockets
 
-_RECONNECT_S = 0.5
-_MAX_RECONNECT_S = 2.0
+_FIRST_RECONNECT_DELAY_S = 0.5
+_MAX_RECONNECT_DELAY_S = 2.0
 _HELLO_TIMEOUT_S = 2.0
-# A connection on which nothing is received for this long is closed. Both sides receive, as
-# heartbeats are acknowledged. It is also the timeout of attempts to connect.
+# A side of a connection that receives nothing for this long aborts it. On a working connection
+# both sides receive data: one gets heartbeats, the other gets their acknowledgements. This is
+# also the timeout of attempts to connect.
 _SILENCE_TIMEOUT_S = 2.0
 _NONCE_BYTES = 16
 _MAX_HELLO_BYTES = 64 * 1024
@@ -62,7 +63,10 @@
 
 
 class _FramedProtocol(protocol.Protocol):
-    """A connection that carries msgpack frames; invalid data closes it."""
+    """A connection that carries msgpack frames.
+
+    It is aborted on invalid data, and if the handling of a message raises an exception.
+    """
 
     def __init__(self, reactor: typing.Any, codec: Codec) -> None:
         self._reactor = reactor
@@ -129,8 +133,9 @@
         self._timer.reset(_SILENCE_TIMEOUT_S)
         if self._sender is None:
             self._sender = self._authenticate(message)
-            # The connecting side sends messages right after its hello, without an answer in
-            # between; they go to the new unpacker.
+            # The connecting side gets no answer to its hello and sends messages right after it.
+            # Those that the old unpacker has buffered already go to the new one, whose limit is
+            # that of any message.
             remaining = self._unpacker.read_bytes(_MAX_HELLO_BYTES)
             self._unpacker = self._codec.unpacker()
             self._unpacker.feed(remaining)
@@ -153,7 +158,12 @@
 
 
 class _OutgoingStream(_FramedProtocol):
-    """Connecting side: authenticates itself, then sends this instance's messages."""
+    """Connecting side: authenticates itself, then sends this instance's messages.
+
+    Attributes:
+        ready: Whether the hello was sent and the connection is open, so that messages may be
+            sent.
+    """
 
     def __init__(self, reactor: typing.Any, codec: Codec, identity: Identity) -> None:
         super().__init__(reactor, codec)
@@ -190,7 +200,7 @@
 
 
 class _Connector(protocol.ReconnectingClientFactory):
-    """Keeps an outgoing stream to one address open."""
+    """Keeps an outgoing stream to one address open, and reconnects when it is lost."""
 
     noisy = False
 
@@ -204,8 +214,8 @@
     ) -> None:
         self.clock = reactor
         self._codec = codec
-        self.initialDelay = self.delay = _RECONNECT_S
-        self.maxDelay = _MAX_RECONNECT_S
+        self.initialDelay = self.delay = _FIRST_RECONNECT_DELAY_S
+        self.maxDelay = _MAX_RECONNECT_DELAY_S
         self._identity = identity
         self.address = address
         self.on_ready = on_ready
@@ -253,7 +263,7 @@
         identity: Authenticates this instance to its peers.
         handler: Called with the sender's name and each message.
         codec: Encodes and decodes the messages.
-        on_ready: Called with the address when the stream to it is ready.
+        on_ready: Called with the address when messages may be sent on the stream to it.
         context: TLS context of both sides, None for plain TCP.
         on_lost: Called with the sender's name when an authenticated stream from it ends.
     """
@@ -317,9 +327,9 @@
             if connector.stream is not None and connector.stream.ready:
                 connector.stream.transport.write(frame)
 
-    def keep_only(self, addresses: Collection[str]) -> None:
-        """Keep streams to these addresses, and close all others."""
-        for address in [known for known in self._connectors if known not in addresses]:
+    def set_addresses(self, addresses: Collection[str]) -> None:
+        """Open the missing streams to these addresses, and close streams to all others."""
+        for address in [a for a in self._connectors if a not in addresses]:
             connector = self._connectors.pop(address)
             connector.stopTrying()
             if connector.stream is not None and connector.stream.transport is not None:
--- a/src/carobhook/transport/shard_dispatchers.py
+++ b/src/carobhook/transport/shard_dispatchers.py
@@ -20,28 +20,30 @@
 
 Shard = slot_client.Shard
 
-# Fraction of an agreed limit that instances apply. Requests on their way are not counted yet;
-# without this margin, the sum over all instances could exceed the limit.
+# Fraction of the configured retry limits that dispatchers apply. Requests on their way are not
+# counted yet; without this margin, all instances together could exceed the configured limits.
 APPLIED_LIMIT_SHARE = 0.8
-# Reports of other regions are ignored when they are older than this.
+# Reports of other regions are ignored when they are older than this. Otherwise a region that no
+# longer sends reports would keep its loans, and its slots would be used without its knowledge.
 _REPORT_LIFETIME_S = 1.6
 # Weight of the latest sample in the moving average of demand.
 _DEMAND_WEIGHT = 0.2
-# A new dispatcher waits at most this long for the reports of the slots that instances already
-# hold. Without the reports, it would grant slots that are in use.
-_TAKEOVER_S = 0.25
+# A new dispatcher grants nothing until all instances have reported which slots they hold;
+# otherwise it would grant slots that are in use. It waits at most this long, because instances
+# that it can't reach do not report.
+_TAKEOVER_WAIT_S = 0.25
 
 
 @attrs.frozen
 class SlotLimits:
-    """Limits on what all instances together send, and on how fast loans change.
+    """Limits on the retries and cold-server requests of all instances, and on loan changes.
 
     Attributes:
-        budget_ratio: Retries allowed for each request of a service.
-        budget_slack: Retries allowed in a window in addition, in all regions together.
+        budget_ratio: Retries allowed per request of a service.
+        budget_slack: Additional retries allowed per window, in all regions together.
         budget_window_s: Length of the window in seconds.
         cold_factor: Multiple of its configured rate that a cold server may get.
-        cold_slack: Requests a second that a cold server may get in addition.
+        cold_slack: Requests a second that a cold server may get beyond that multiple.
         loan_step: Largest change of the loan to one region per update, as a share of the
             borrower's demand.
     """
@@ -56,7 +58,7 @@
 
 @attrs.define(eq=False)
 class _ShardState:
-    """Dispatcher of a shard, with its requests, its grants and the loans between regions.
+    """Dispatcher of a shard, with the requesters, the granted slots and the loans to regions.
 
     Attributes:
         dispatcher: Decides on the slot requests of the shard.
@@ -105,11 +107,12 @@
         regions: Regions by failure domain.
         server_catalog: Servers and configuration.
         orders: Operators' orders in force.
-        limits: Limits on what all instances together send.
+        limits: Limits on retries, cold-server requests and loan changes.
         owner_of: Returns the instance that dispatches for a shard, or None.
         send: Sends a message to an instance, which may be this one.
-        live: Returns the live instances.
-        visible: Returns the fraction of a region's recently known instances that are live.
+        live_names: Returns the names of the live instances.
+        visible_share: Returns the fraction of a region's recently known instances that are
+            live.
     """
 
     def __init__(
@@ -122,8 +125,8 @@
         limits: SlotLimits,
         owner_of: Callable[[Shard], ids.InstanceId | None],
         send: Callable[[ids.InstanceId, typing.Any], bool],
-        live: Callable[[], Collection[ids.InstanceId]],
-        visible: Callable[[ids.Region], float],
+        live_names: Callable[[], Collection[ids.InstanceId]],
+        visible_share: Callable[[ids.Region], float],
     ) -> None:
         self._reactor = reactor
         self._own = own
@@ -133,8 +136,8 @@
         self._limits = limits
         self._owner_of = owner_of
         self._send = send
-        self._live = live
-        self._visible = visible
+        self._live_names = live_names
+        self._visible_share = visible_share
         self._shards: dict[Shard, _ShardState] = {}
 
     # Slot requests.
@@ -194,13 +197,14 @@
     def handle_held_slots(
         self, sender: ids.InstanceId, message: slot_messages.HeldSlotsReport
     ) -> None:
-        """Count the slots that an instance's requests got from the previous dispatcher."""
+        """Register the slots that an instance's requests got from the previous dispatcher."""
         now = self._reactor.seconds()
         shard = (message.region, message.service)
         if self._owner_of(shard) != self._own:
             return
         state = self.get_or_create(shard)
         for slot in message.held:
+            # The report has no priority, target or deadline; they only matter in the queue.
             request = allocation.SlotRequest(
                 slot.id, message.service, slot.route, slot.object_key, 0, now, now
             )
@@ -210,7 +214,10 @@
         self._decide(state, now)
 
     def remove_instance(self, name: ids.InstanceId) -> None:
-        """Free the slots of an instance that died or restarted: its requests ended with it."""
+        """Remove the queued requests of an instance, and free its slots.
+
+        The instance died or restarted, so its requests have ended.
+        """
         now = self._reactor.seconds()
         for state in self._shards.values():
             state.unreported.discard(name)
@@ -272,9 +279,9 @@
         return state
 
     def _query_held_slots(self, shard: Shard, state: _ShardState) -> None:
-        """Ask every live instance which slots of a new shard its requests hold."""
-        state.unreported = set(self._live()) - {self._own}
-        state.paused_until = self._reactor.seconds() + _TAKEOVER_S
+        """Ask every live instance which slots of the shard its requests hold."""
+        state.unreported = set(self._live_names()) - {self._own}
+        state.paused_until = self._reactor.seconds() + _TAKEOVER_WAIT_S
         state.dispatcher.paused = bool(state.unreported)
         for name in sorted(state.unreported):
             self._send(name, slot_messages.HeldSlotsQuery(*shard))
@@ -309,14 +316,14 @@
             if self._owner_of((region, service)) != self._own:
                 continue
             pool = state.dispatcher.pool
-            own = sum(s.slots for s in pool.servers if s.region == region)
+            own_slots = sum(s.slots for s in pool.servers if s.region == region)
             lent = {to: sum(counts.values()) for to, counts in state.lent.items()}
             withheld = sum(state.withheld.values())
             loads.append(
                 slot_messages.ShardLoad(
                     region,
                     service,
-                    own,
+                    own_slots,
                     pool.slots,
                     pool.running,
                     state.dispatcher.queue_length,
@@ -330,38 +337,45 @@
     # Servers and loans.
 
     def _update_pool(self, shard: Shard, state: _ShardState) -> None:
-        """Replace the servers of a dispatcher: its region's own ones, and borrowed ones."""
+        """Update the pool to the servers of the shard's region and the borrowed servers.
+
+        Withheld slots and the share of the retry budget are updated too.
+        """
         now = self._reactor.seconds()
         region, service = shard
         borrowed: dict[ids.Server, int] = {}
         for report in state.recent_reports(now).values():
             borrowed.update(report.lent)
         offers = []
-        own = []
-        visible = self._visible(region)
-        cold_rate = self._cold_rate(service, visible)
+        own_servers = []
+        visible_share = self._visible_share(region)
+        cold_rate = self._cold_rate(service, visible_share)
         for view in self._catalog.servers_of(service, now):
             entry = view.entry
-            home = self._regions.get(entry.failure_domain)
-            if home is None:
+            server_region = self._regions.get(entry.failure_domain)
+            if server_region is None:
                 continue
-            if home == region:
-                own.append(view)
-                offers.append(server_pool.ServerOffer(view, home, entry.slots, cold_rate))
+            if server_region == region:
+                own_servers.append(view)
+                offers.append(
+                    server_pool.ServerOffer(view, server_region, entry.slots, cold_rate)
+                )
             elif entry.name in borrowed and now >= view.cold_until:
                 slots = borrowed[entry.name]
-                offers.append(server_pool.ServerOffer(view, home, slots, cold_rate))
-        state.withheld = self._orders.withheld_slots(service, region, own)
+                offers.append(server_pool.ServerOffer(view, server_region, slots, cold_rate))
+        state.withheld = self._orders.withheld_slots(service, region, own_servers)
         state.dispatcher.pool.replace(offers, now)
-        state.dispatcher.retry_budget.share = visible
+        state.dispatcher.retry_budget.share = visible_share
         self._update_unavailable_slots(state, now)
 
-    def _cold_rate(self, service: ids.Service, visible: float) -> float | None:
-        """Return how many requests a second may be sent to a cold server, None for no limit.
+    def _cold_rate(self, service: ids.Service, visible_share: float) -> float | None:
+        """Return the requests a second that a dispatcher may send to a cold server.
+
+        None means no limit.
 
         Args:
             service: Service of the server.
-            visible: Fraction of the region's recently known instances that are live.
+            visible_share: Fraction of the region's recently known instances that are live.
         """
         config = self._catalog.config
         policy = config.services.get(service) if config is not None else None
@@ -370,7 +384,7 @@
         max_per_s = (
             policy.cold_requests_per_s * self._limits.cold_factor + self._limits.cold_slack
         )
-        return server_pool.cold_rate_limit(policy.cold_requests_per_s, max_per_s, visible)
+        return server_pool.cold_rate_limit(policy.cold_requests_per_s, max_per_s, visible_share)
 
     def _update_unavailable_slots(self, state: _ShardState, now: float) -> None:
         """Update how many slots of each server the dispatcher must not grant.
@@ -391,7 +405,7 @@
         state.dispatcher.pool.set_unavailable_slots(counts)
 
     def update_loans(self, elapsed_s: float, now: float) -> None:
-        """Update the loans of all shards, and report them to the other regions' dispatchers.
+        """Update the loans and pools of all shards, and report to other regions' dispatchers.
 
         Args:
             elapsed_s: Seconds since the last update.
@@ -414,12 +428,12 @@
             and not pooled.is_suspect
             and now >= pooled.view.cold_until
         }
-        loads = {
+        region_loads = {
             other: slot_loans.RegionLoad(report.slots, report.demand)
             for other, report in state.recent_reports(now).items()
         }
-        loads[region] = slot_loans.RegionLoad(sum(own_slots.values()), state.demand)
-        state.loans.update(slot_loans.target_loans(region, loads), loads)
+        region_loads[region] = slot_loans.RegionLoad(sum(own_slots.values()), state.demand)
+        state.loans.update(slot_loans.target_loans(region, region_loads), region_loads)
         previous = state.lent
         state.recalled.expire(now)
         lendable = {
@@ -429,37 +443,43 @@
         state.lent = slot_loans.place_loans(state.loans.lent, lendable, state.lent)
         state.recalled.recall(previous, state.lent, now)
         if state.lent != previous:
-            _log_loans(shard, state.lent, loads)
+            _log_loans(shard, state.lent, region_loads)
         for other in set(self._regions.values()) - {region}:
-            self._send_region_report(shard, state, other, loads[region])
+            self._send_region_report(shard, state, other, region_loads[region])
 
     def _update_demand(self, state: _ShardState, elapsed_s: float) -> None:
-        recent = state.dispatcher.collect_demand() / max(0.05, min(elapsed_s, 2.0))
+        # The first interval starts at time 0 of the clock, not at an update, so without the
+        # upper limit the first sample would be close to 0.
+        sample = state.dispatcher.collect_demand() / max(0.05, min(elapsed_s, 2.0))
         if state.demand is not None:
-            state.demand += _DEMAND_WEIGHT * (recent - state.demand)
-        elif recent > 0:
-            state.demand = recent
+            state.demand += _DEMAND_WEIGHT * (sample - state.demand)
+        elif sample > 0:
+            state.demand = sample
 
     def _send_region_report(
-        self, shard: Shard, state: _ShardState, other: ids.Region, load: slot_loans.RegionLoad
+        self,
+        shard: Shard,
+        state: _ShardState,
+        receiver: ids.Region,
+        load: slot_loans.RegionLoad,
     ) -> None:
         region, service = shard
-        owner = self._owner_of((other, service))
+        owner = self._owner_of((receiver, service))
         if owner is None:
             return
         used = tuple(
             (pooled.name, len(pooled.running))
             for pooled in state.dispatcher.pool.servers
-            if pooled.region == other and pooled.running
+            if pooled.region == receiver and pooled.running
         )
-        lent = tuple(state.lent.get(other, {}).items())
+        lent = tuple(state.lent.get(receiver, {}).items())
         report = slot_messages.RegionReport(
-            service, region, other, load.slots, load.demand, lent, used
+            service, region, receiver, load.slots, load.demand, lent, used
         )
         self._send(owner, report)
 
     def handle_region_report(self, report: slot_messages.RegionReport) -> None:
-        """Record the report of another region's dispatcher, and apply what changed."""
+        """Record the report of another region's dispatcher, and apply its changes."""
         shard = (report.receiver, report.service)
         state = self._shards.get(shard)
         if state is None:
--- a/src/carobhook/transport/slot_allocator.py
+++ b/src/carobhook/transport/slot_allocator.py
@@ -11,9 +11,10 @@
 from carobhook.state import allocation, codes, ids
 from carobhook.transport import shard_dispatchers, slot_client
 
-_LOAN_INTERVAL_S = 0.5
+# Interval at which shard owners and loans are updated.
+_UPDATE_INTERVAL_S = 0.5
 
-_CODES = {code.number: code for code in codes.Code}
+_CODES_BY_NUMBER = {code.number: code for code in codes.Code}
 
 
 class PeerSender(typing.Protocol):
@@ -36,8 +37,9 @@
         server_catalog: Servers and configuration.
         orders: Operators' orders in force.
         peers: Sends messages to other instances.
-        limits: Limits on what all instances together send.
-        visible: Returns the fraction of a region's recently known instances that are live.
+        limits: Limits on retries, cold-server requests and loan changes.
+        visible_share: Returns the fraction of a region's recently known instances that are
+            live.
     """
 
     def __init__(
@@ -50,7 +52,7 @@
         orders: steering.Steering,
         peers: PeerSender,
         limits: shard_dispatchers.SlotLimits,
-        visible: Callable[[ids.Region], float],
+        visible_share: Callable[[ids.Region], float],
     ) -> None:
         self._reactor = reactor
         self._own = own
@@ -59,7 +61,7 @@
         self._catalog = server_catalog
         self._peers = peers
         self._owners: dict[slot_client.Shard, ids.InstanceId | None] = {}
-        self._loans_updated_at = 0.0
+        self._updated_at = 0.0
         self._client = slot_client.SlotClient(
             reactor, self._owner_of, self._send, self.update_owners
         )
@@ -72,8 +74,8 @@
             limits,
             self._owner_of,
             self._send,
-            self._live,
-            visible,
+            self._live_names,
+            visible_share,
         )
 
     @property
@@ -90,14 +92,14 @@
 
         Args:
             request: The slot request.
-            region: Region whose dispatcher decides it.
+            region: Region whose dispatcher grants or refuses it.
         """
         return self._client.request_slot(request, region)
 
     def release_slot(
         self, request_id: ids.RequestId, outcome: allocation.AttemptOutcome
     ) -> None:
-        """Return a granted slot to its dispatcher, with the outcome of the attempt.
+        """Release a granted slot, and send the outcome of the attempt to its dispatcher.
 
         Args:
             request_id: Id of the slot request.
@@ -110,35 +112,35 @@
         return self._dispatchers.loads()
 
     def update_owners(self) -> None:
-        """Determine the owner of each known shard again, and apply the changes."""
+        """Recompute the owner of each known shard, and apply the changes."""
         serving = self._members.serving(self._reactor.seconds())
-        for shard, before in list(self._owners.items()):
+        for shard, previous in list(self._owners.items()):
             owner = membership.shard_owner(*shard, serving)
-            if owner != before:
+            if owner != previous:
                 self._owners[shard] = owner
-                self._apply_owner_change(shard, before, owner)
+                self._apply_owner_change(shard, previous, owner)
 
     def update_servers(self) -> None:
         """Update all dispatchers after a change of servers, configuration or orders."""
         self._dispatchers.update_servers()
 
     def remove_instance(self, name: ids.InstanceId) -> None:
-        """Free the slots of an instance that died or restarted."""
+        """Remove the queued requests of an instance that died or restarted; free its slots."""
         self._dispatchers.remove_instance(name)
 
     def tick(self) -> None:
         """Decide on queued requests, and update owners and loans at intervals."""
         now = self._reactor.seconds()
-        elapsed_s = now - self._loans_updated_at
-        if elapsed_s >= _LOAN_INTERVAL_S:
-            self._loans_updated_at = now
+        elapsed_s = now - self._updated_at
+        if elapsed_s >= _UPDATE_INTERVAL_S:
+            self._updated_at = now
             self.update_owners()
             self._start_dispatchers()
             self._dispatchers.update_loans(elapsed_s, now)
         self._dispatchers.tick(now)
 
     def handle_message(self, sender: ids.InstanceId, message: typing.Any) -> None:
-        """Pass a message about slots to the client or the dispatchers."""
+        """Pass a message about slots to the client or the dispatchers, and answer queries."""
         if isinstance(message, slot_messages.SlotRequested):
             self._dispatchers.handle_request(sender, message)
         elif isinstance(message, slot_messages.SlotRequestWithdrawn):
@@ -148,7 +150,7 @@
         elif isinstance(message, slot_messages.SlotGranted):
             self._client.handle_grant(sender, message.grant)
         elif isinstance(message, slot_messages.SlotRefused):
-            self._client.handle_refusal(_refusal(sender, message))
+            self._client.handle_refusal(_build_refusal(sender, message))
         elif isinstance(message, slot_messages.NotDispatcher):
             self._client.handle_not_dispatcher(message.ask_id)
         elif isinstance(message, slot_messages.HeldSlotsQuery):
@@ -165,7 +167,7 @@
             return True
         return self._peers.send(to, message)
 
-    def _live(self) -> list[ids.InstanceId]:
+    def _live_names(self) -> list[ids.InstanceId]:
         return [member.name for member in self._members.live(self._reactor.seconds())]
 
     def _owner_of(self, shard: slot_client.Shard) -> ids.InstanceId | None:
@@ -177,13 +179,13 @@
     def _apply_owner_change(
         self,
         shard: slot_client.Shard,
-        before: ids.InstanceId | None,
+        previous: ids.InstanceId | None,
         owner: ids.InstanceId | None,
     ) -> None:
         logs.event(
-            "dispatcher-changed", region=shard[0], service=shard[1], before=before, now=owner
+            "dispatcher-changed", region=shard[0], service=shard[1], before=previous, now=owner
         )
-        if before == self._own:
+        if previous == self._own:
             self._dispatchers.hand_over(shard)
         if owner == self._own:
             self._dispatchers.get_or_create(shard)
@@ -201,10 +203,11 @@
                     self._dispatchers.get_or_create((region, service))
 
 
-def _refusal(
+def _build_refusal(
     sender: ids.InstanceId, message: slot_messages.SlotRefused
 ) -> allocation.SlotRefusal:
-    code = _CODES.get(message.code, codes.Code.NO_BACKEND)
+    # A number that this version does not know is treated as NO_BACKEND.
+    code = _CODES_BY_NUMBER.get(message.code, codes.Code.NO_BACKEND)
     return allocation.SlotRefusal(
         message.ask_id, code, message.retry_after_s, f"{sender}: {message.detail}"
     )
--- a/src/carobhook/transport/slot_client.py
+++ b/src/carobhook/transport/slot_client.py
@@ -13,8 +13,9 @@
 Shard = tuple[ids.Region, ids.Service]
 
 _NOT_DISPATCHER_RETRY_S = 0.02
-# The stream to an instance that restarted is open again within this time of its start. Without
-# the wait, requests would be refused although their dispatcher is about to be reachable.
+# A request waits this long for a stream to its dispatcher. After an instance restarts, the
+# stream to it opens again in less time. Without the wait, requests would be refused although
+# their dispatcher is about to be reachable.
 _STREAM_WAIT_S = 0.25
 _STREAM_RETRY_S = 0.05
 
@@ -25,10 +26,12 @@
 
     Attributes:
         request: The slot request.
-        region: Region whose dispatcher decides it.
+        region: Region whose dispatcher grants or refuses it.
         result: Fires with the decision.
-        owner: Instance that it was last sent to, None if no instance is the dispatcher.
-        unsent_since: Monotonic time in seconds since which there is no stream to the owner.
+        owner: Owner of the shard at the last attempt to send the request, None if the shard had
+            no owner.
+        unsent_since: Monotonic time in seconds of the first attempt to send it that failed for
+            lack of a stream, None while none has failed since the last success.
     """
 
     request: allocation.SlotRequest
@@ -39,7 +42,7 @@
 
     @property
     def shard(self) -> Shard:
-        """Return the shard whose dispatcher decides it."""
+        """Return the shard whose dispatcher grants or refuses it."""
         return self.region, self.request.service
 
 
@@ -73,7 +76,8 @@
         owner_of: Returns the instance that dispatches for a shard, or None.
         send: Sends a message to an instance, which may be this one; returns False if there is
             no stream to it.
-        update_owners: Determines the owners of all shards again.
+        update_owners: Recomputes the owners of all shards, and calls `switch_owner` for each
+            new one.
     """
 
     def __init__(
@@ -104,7 +108,7 @@
 
         Args:
             request: The slot request.
-            region: Region whose dispatcher decides it.
+            region: Region whose dispatcher grants or refuses it.
         """
         result: defer.Deferred = defer.Deferred(lambda _: self._withdraw(request.id))
         pending = _PendingRequest(request, region, result)
@@ -115,7 +119,7 @@
     def release_slot(
         self, request_id: ids.RequestId, outcome: allocation.AttemptOutcome
     ) -> None:
-        """Return a granted slot to its dispatcher, with the outcome of the attempt.
+        """Release a granted slot, and send the outcome of the attempt to its dispatcher.
 
         Args:
             request_id: Id of the slot request.
@@ -130,10 +134,11 @@
         )
 
     def handle_grant(self, owner: ids.InstanceId, grant: allocation.SlotGrant) -> None:
-        """Record a granted slot, and pass the grant to the requester."""
+        """Record a granted slot, and fire the result of its request."""
         pending = self._pending.get(grant.ask_id)
         if pending is None:
-            # The request was withdrawn while the grant was on its way.
+            # The request was withdrawn while the grant was on its way. The dispatcher frees
+            # the slot when it receives the withdrawal.
             return
         self._held[grant.ask_id] = _HeldSlot(
             pending.request, pending.region, grant.server, owner
@@ -141,7 +146,7 @@
         self._resolve(grant)
 
     def handle_refusal(self, refusal: allocation.SlotRefusal) -> None:
-        """Pass a refusal to the requester."""
+        """Fire the result of a refused request."""
         self._resolve(refusal)
 
     def handle_not_dispatcher(self, request_id: ids.RequestId) -> None:
@@ -152,6 +157,7 @@
         self._update_owners()
         if self._owner_of(pending.shard) == pending.owner:
             # The other instance knows of a change of members that this one has yet to learn.
+            # Otherwise `switch_owner` has sent the request to the new owner already.
             self._reactor.callLater(_NOT_DISPATCHER_RETRY_S, self._resend, request_id)
 
     def switch_owner(self, shard: Shard, owner: ids.InstanceId) -> None:
@@ -188,9 +194,9 @@
             self._retry_or_refuse(pending, now)
 
     def _retry_or_refuse(self, pending: _PendingRequest, now: float) -> None:
-        """Resend a request soon, or refuse it if there was no stream for too long.
+        """Schedule a resend, or refuse the request if there was no stream for too long.
 
-        After a restart, streams are opened again a moment after instances are ready.
+        After a restart, instances are ready a moment before all their streams are open.
         """
         if pending.unsent_since is None:
             pending.unsent_since = now
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -11,15 +11,15 @@
 
 KEY = b"shared"
 NAME = ids.InstanceId("a")
-RUN = ids.Incarnation("0" * 16)
+INCARNATION = ids.Incarnation("0" * 16)
 
 
-class Acceptor:
-    """The accepting side of one connection; records handled messages and log lines."""
+class AcceptedConnection:
+    """The accepting side of one connection; records handled messages and warnings."""
 
     def __init__(self, monkeypatch):
-        self.lines = []
-        monkeypatch.setattr(logs, "warning", lambda name, **values: self.lines.append(name))
+        self.warnings = []
+        monkeypatch.setattr(logs, "warning", lambda name, **values: self.warnings.append(name))
         self.handled = []
         self.lost = []
         self.clock = task.Clock()
@@ -33,12 +33,12 @@
         self.transport = StringTransport()
         self.transport.setTcpNoDelay = lambda on: None
         self.transport.abortConnection = self.abort
-        self.aborted = 0
+        self.abort_count = 0
         self.stream.makeConnection(self.transport)
 
     def abort(self):
-        """Count an abort, and report the connection lost as a reactor does."""
-        self.aborted += 1
+        """Count an abort, and call connectionLost as a reactor does."""
+        self.abort_count += 1
         self.stream.connectionLost()
 
     @property
@@ -50,65 +50,67 @@
 
     def hello(self, nonce, key=KEY):
         """Return the frame of a hello that is signed with a key."""
-        proof = peers.hello_proof(key, nonce, NAME, RUN)
-        return peer_codec.CODEC.encode(membership_messages.Hello(NAME, RUN, proof))
+        proof = peers.hello_proof(key, nonce, NAME, INCARNATION)
+        return peer_codec.CODEC.encode(membership_messages.Hello(NAME, INCARNATION, proof))
 
 
 @pytest.fixture
-def acceptor(monkeypatch):
-    """Return an accepted connection."""
-    return Acceptor(monkeypatch)
+def accepted(monkeypatch):
+    """Return an accepted connection that has sent its challenge."""
+    return AcceptedConnection(monkeypatch)
 
 
 class TestIncoming:
     """The accepting side of a connection."""
 
-    def test_messages_right_after_the_hello(self, acceptor):
+    def test_messages_right_after_the_hello(self, accepted):
         """Frames that arrive in one read with the hello are handled after it."""
         message = slot_messages.NotDispatcher(ids.RequestId("3"))
-        data = acceptor.hello(acceptor.nonce) + peer_codec.CODEC.encode(message) * 2
-        acceptor.stream.dataReceived(data[:-5])
-        acceptor.stream.dataReceived(data[-5:])
-        assert acceptor.handled == [(NAME, message)] * 2
-        assert acceptor.lines == []
+        data = accepted.hello(accepted.nonce) + peer_codec.CODEC.encode(message) * 2
+        accepted.stream.dataReceived(data[:-5])
+        accepted.stream.dataReceived(data[-5:])
+        assert accepted.handled == [(NAME, message)] * 2
+        assert accepted.warnings == []
 
     @pytest.mark.parametrize(
         "data",
         [
             b"GET / HTTP/1.1\r\n\r\n",
-            b"\xff" * 100,
-            b"\xc6\x7f\xff\xff\xff",
+            b"\xff" * 100,  # integers instead of arrays
+            b"\xc6\x7f\xff\xff\xff",  # header of almost 2 GiB of binary data
+            # A valid message, but not a hello.
             peer_codec.CODEC.encode(slot_messages.NotDispatcher(ids.RequestId("0"))),
+            # Part of a string of almost 16 MiB, longer than a hello may be.
             b"\xdb\x00\xff\xff\xff" + b"x" * 100_000,
         ],
     )
-    def test_invalid_first_data(self, acceptor, data):
-        """The connection is aborted with one log line, and no message is handled."""
-        acceptor.stream.dataReceived(data)
-        acceptor.clock.advance(10.0)
-        assert acceptor.aborted == 1
-        assert len(acceptor.lines) == 1
-        assert acceptor.handled == []
-
-    def test_missing_hello(self, acceptor):
-        """A connection without a hello is aborted after a timeout, with one log line."""
-        acceptor.clock.advance(10.0)
-        assert (acceptor.aborted, len(acceptor.lines)) == (1, 1)
-
-    def test_wrong_key(self, acceptor):
+    def test_invalid_first_data(self, accepted, data):
+        """The connection is aborted with one warning, and no message is handled."""
+        accepted.stream.dataReceived(data)
+        accepted.clock.advance(10.0)
+        assert accepted.abort_count == 1
+        assert len(accepted.warnings) == 1
+        assert accepted.handled == []
+
+    def test_missing_hello(self, accepted):
+        """A connection without a hello is aborted after a timeout, with one warning."""
+        accepted.clock.advance(10.0)
+        assert (accepted.abort_count, len(accepted.warnings)) == (1, 1)
+
+    def test_wrong_key(self, accepted):
         """A hello that is signed with another key is rejected."""
-        acceptor.stream.dataReceived(acceptor.hello(acceptor.nonce, b"other"))
-        assert (acceptor.aborted, len(acceptor.lines)) == (1, 1)
+        accepted.stream.dataReceived(accepted.hello(accepted.nonce, b"other"))
+        assert (accepted.abort_count, len(accepted.warnings)) == (1, 1)
 
-    def test_replayed_hello(self, acceptor, monkeypatch):
+    def test_replayed_hello(self, accepted, monkeypatch):
         """A hello recorded on one connection is rejected on another."""
-        recorded = acceptor.hello(acceptor.nonce)
-        other = Acceptor(monkeypatch)
+        recorded = accepted.hello(accepted.nonce)
+        other = AcceptedConnection(monkeypatch)
         other.stream.dataReceived(recorded)
-        assert (other.aborted, len(other.lines)) == (1, 1)
+        assert (other.abort_count, len(other.warnings)) == (1, 1)
 
-    def test_invalid_data_after_the_hello(self, acceptor):
+    def test_invalid_data_after_the_hello(self, accepted):
         """Invalid data on an authenticated stream aborts its connection."""
-        acceptor.stream.dataReceived(acceptor.hello(acceptor.nonce))
-        acceptor.stream.dataReceived(b"\xc1\xc1\xc1")
-        assert (acceptor.aborted, len(acceptor.lines)) == (1, 1)
+        accepted.stream.dataReceived(accepted.hello(accepted.nonce))
+        accepted.stream.dataReceived(b"\xc1\xc1\xc1")
+        assert (accepted.abort_count, len(accepted.warnings)) == (1, 1)
--- a/tests/test_slot_desk.py
+++ b/tests/test_slot_desk.py
@@ -1,4 +1,4 @@
-"""Tests of carobhook.transport.slot_allocator: slots that instances request from each other."""
+"""Tests of carobhook.transport.slot_allocator: slot requests between instances."""
 
 from twisted.internet import task
 
@@ -9,7 +9,7 @@
 
 NORTH = ids.Region("north")
 SERVICE = ids.Service("svc")
-ZONE = ids.FailureDomain("north-a")
+DOMAIN = ids.FailureDomain("north-a")
 LIMITS = shard_dispatchers.SlotLimits(0.2, 58, 10.0, 1.5, 5.0, 0.05)
 
 
@@ -19,7 +19,7 @@
         ids.InstanceId(name),
         ids.Incarnation(f"{name:0<16}"),
         NORTH,
-        ZONE,
+        DOMAIN,
         f"{name}:1",
         f"{name}:2",
         members.Phase.READY,
@@ -35,7 +35,7 @@
         slots: Number of slots of the only server.
 
     Attributes:
-        cut: Pairs of a sender and a receiver without a stream.
+        cut: Pairs of a sender and a receiver; the sender has no stream to the receiver.
     """
 
     def __init__(self, *names, slots=2):
@@ -55,7 +55,7 @@
         server_catalog.replace_config_if_newer(routing.RoutingConfig(1, (), {SERVICE: policy}))
         server_catalog.put(
             servers.ServerEntry(
-                ids.Server("i-1"), SERVICE, ZONE, "s:1", slots, servers.ServerState.READY, 0.0
+                ids.Server("i-1"), SERVICE, DOMAIN, "s:1", slots, servers.ServerState.READY, 0.0
             ),
             0.0,
         )
@@ -63,17 +63,17 @@
         self.allocators[name] = slot_allocator.SlotAllocator(
             self.clock,
             name,
-            {ZONE: NORTH},
+            {DOMAIN: NORTH},
             self.memberships[name],
             server_catalog,
-            steering.Steering({ZONE: NORTH}),
+            steering.Steering({DOMAIN: NORTH}),
             Streams(self, name),
             LIMITS,
-            lambda region: self.visible(name),
+            lambda region: self.visible_share(name),
         )
 
-    def visible(self, name):
-        """Return the fraction of all instances that are live to one of them."""
+    def visible_share(self, name):
+        """Return the fraction of all instances that one of them considers live."""
         return len(self.memberships[name].live(self.clock.seconds())) / len(self.memberships)
 
     @property
@@ -141,7 +141,7 @@
         assert isinstance(third[0], allocation.SlotGrant)
 
     def test_dispatcher_that_cannot_be_reached(self):
-        """The request is refused, as not run, when a stream should have been open again."""
+        """The request is refused after the wait for a stream, with a code that says not run."""
         deployment = Deployment("a", "b", "c")
         requester = next(name for name in deployment.allocators if name != deployment.owner)
         deployment.cut.add((requester, deployment.owner))
@@ -153,7 +153,7 @@
         assert decisions[0].code.run is codes.RunStatus.NOT_RUN
 
     def test_pending_request_is_sent_when_its_stream_opens(self):
-        """After a restart of all instances, streams open a moment after instances are ready."""
+        """After a restart of all instances, they are ready a moment before streams are open."""
         deployment = Deployment("a", "b", "c")
         requester = next(name for name in deployment.allocators if name != deployment.owner)
         deployment.cut.add((requester, deployment.owner))
@@ -186,7 +186,7 @@
     """Another instance becomes the dispatcher."""
 
     def test_pending_requests_go_to_the_new_dispatcher(self):
-        """It gets a report of the held slots, and pending requests are sent again."""
+        """The new dispatcher gets a report of the held slots, and the pending requests."""
         deployment = Deployment("a", "b", "c")
         before = deployment.owner
         others = [name for name in deployment.allocators if name != before]
@@ -217,7 +217,7 @@
         )
         assert isinstance(waiting[0], allocation.SlotGrant)
 
-    def test_missing_report_of_held_slots_delays_only_briefly(self):
+    def test_missing_report_of_held_slots_delays_grants_briefly(self):
         """The dispatcher stops waiting for the report of an unreachable instance."""
         deployment = Deployment("a", "b", "c")
         before = deployment.owner
@@ -234,7 +234,7 @@
         assert isinstance(decisions[0], allocation.SlotGrant)
 
     def test_slots_of_a_dead_instance_are_freed(self):
-        """Its requests ended with it, so their slots are granted to others."""
+        """Requests of a dead instance ended with it, so their slots are granted to others."""
         deployment = Deployment("a", "b", "c", slots=1)
         dead = next(name for name in deployment.allocators if name != deployment.owner)
         other = next(
@@ -246,8 +246,8 @@
         deployment.kill(dead)
         assert isinstance(waiting[0], allocation.SlotGrant)
 
-    def test_instance_that_is_not_the_dispatcher_answers_so(self):
-        """It grants nothing, and answers with `NotDispatcher`."""
+    def test_request_to_an_instance_that_is_not_the_dispatcher(self):
+        """The instance grants nothing, and answers with `NotDispatcher`."""
         deployment = Deployment("a", "b", "c")
         wrong = next(name for name in deployment.allocators if name != deployment.owner)
         sent = []
@@ -267,7 +267,7 @@
             False,
             frozenset(),
             frozenset(),
-            ZONE,
+            DOMAIN,
         )
         deployment.allocators[wrong].handle_message(ids.InstanceId("elsewhere"), message)
         assert sent == [slot_messages.NotDispatcher(ids.RequestId("x"))]
