--- a/src/carobhook/cli/ctl.py
+++ b/src/carobhook/cli/ctl.py
@@ -101,7 +101,7 @@
 def _open_session(
     address: str, token: str, ca_file: pathlib.Path | None, *, as_json: bool, wait_s: float
 ) -> "session.Session":
-    # Importing the HTTP client takes long, so commands that do not need it do not import it.
+    # Imported here, because the HTTP client is slow to import and other commands need none.
     from carobhook.cli import operator, output, session
 
     printer = output.JsonPrinter() if as_json else output.TablePrinter()
@@ -140,8 +140,8 @@
 def _read_orders(file: pathlib.Path | None) -> Iterable[str] | None:
     """Return the orders in a file or standard input.
 
-    Returns None if there is no file and standard input is a terminal, where a prompt reads
-    the orders.
+    Returns None if there is no file and standard input is a terminal: the orders then come
+    from a prompt.
 
     Raises:
         typer.Exit: The file cannot be read.
@@ -168,13 +168,13 @@
     """Return a function that reads one line at the prompt.
 
     Args:
-        history: File that keeps the lines for later prompts; None to keep them in memory.
+        history: File that keeps the lines for later sessions; None keeps them only in memory.
     """
     import prompt_toolkit
     from prompt_toolkit import history as prompt_history
 
-    store: typing.Any = prompt_history.InMemoryHistory()
+    previous_lines: typing.Any = prompt_history.InMemoryHistory()
     if history is not None:
-        store = prompt_history.FileHistory(str(history))
-    session: typing.Any = prompt_toolkit.PromptSession(history=store)
-    return functools.partial(session.prompt, "carobhook> ")
+        previous_lines = prompt_history.FileHistory(str(history))
+    prompt_session: typing.Any = prompt_toolkit.PromptSession(history=previous_lines)
+    return functools.partial(prompt_session.prompt, "carobhook> ")
--- a/src/carobhook/cli/demo.py
+++ b/src/carobhook/cli/demo.py
@@ -10,7 +10,7 @@
 from carobhook import demo as layouts
 from carobhook.cli import exits
 
-_TOKEN_BYTES = 24
+_SECRET_BYTES = 24
 
 
 def demo(
@@ -31,8 +31,8 @@
     """
     layout = layouts.Layout(
         layouts.Ports.starting_at(base_port),
-        token=secrets.token_urlsafe(_TOKEN_BYTES),
-        peer_key=secrets.token_urlsafe(_TOKEN_BYTES),
+        token=secrets.token_urlsafe(_SECRET_BYTES),
+        peer_key=secrets.token_urlsafe(_SECRET_BYTES),
     )
     if write is None:
         _run_in_process(layout)
--- a/src/carobhook/cli/exits.py
+++ b/src/carobhook/cli/exits.py
@@ -9,8 +9,18 @@
 class Exit(enum.IntEnum):
     """Exit codes of the commands.
 
-    A command that a signal kills has none of these, but the code that the shell reports for
-    the signal.
+    If a signal kills a command, the shell reports its own code for the signal, which is none
+    of these.
+
+    Attributes:
+        OK: The command succeeded.
+        REFUSED: An order was refused, the end of a request is not in the logs, or a soak test
+            found a violation.
+        USAGE: Arguments, files or settings have faults.
+        UNREACHABLE: No daemon answered an order, or a server that is not a daemon did.
+        NOT_IN_FORCE: An order was accepted, but was not in force everywhere in time.
+        ADDRESS_IN_USE: An address cannot be listened on.
+        FAILED: The program could not start for another reason.
     """
 
     OK = 0
--- a/src/carobhook/cli/explain_request.py
+++ b/src/carobhook/cli/explain_request.py
@@ -1,4 +1,4 @@
-"""Command `explain-request`, which finds why a request ended in the instances' log lines."""
+"""Command `explain-request`, which explains the end of a request by its log lines."""
 
 import collections
 import json
@@ -65,9 +65,9 @@
 
 
 def _print_failed(traces: dict[str, request_trace.Trace], as_json: bool) -> None:
-    """Print the ids of failed requests by result code.
+    """Print the ids of failed requests by cause, which is a result code and its text.
 
-    As text, the most frequent code comes first, with at most five ids of each.
+    As text, the most frequent cause comes first, with at most five ids for each.
     """
     by_cause: dict[str, list[str]] = collections.defaultdict(list)
     for trace in traces.values():
--- a/src/carobhook/cli/local.py
+++ b/src/carobhook/cli/local.py
@@ -13,6 +13,7 @@
 from carobhook.transport import entry_daemon
 
 _REQUESTS_PER_S = 10.0
+# Duration of one run of the client; a new run follows until the demo stops.
 _TRAFFIC_RUN_S = 60.0
 _STORE_TIMEOUT_S = 2.0
 
@@ -27,7 +28,7 @@
     _stopping: bool = attrs.field(default=False, init=False)
 
     async def start(self) -> None:
-        """Start the deployment, print a guide to it and begin to send traffic."""
+        """Start the deployment, print how to use it and start sending traffic."""
         store_server = platform_store.PlatformStoreServer(
             self._reactor, memory_store.MemoryStore()
         )
@@ -40,8 +41,8 @@
             self._layout.servers
         )
         for index in range(len(self._layout.instances)):
-            loaded = entry_settings.loads(self._layout.settings_text(index))
-            daemon = entry_daemon.EntryDaemon(loaded, self._reactor)
+            settings = entry_settings.loads(self._layout.settings_text(index))
+            daemon = entry_daemon.EntryDaemon(settings, self._reactor)
             await daemon.start()
             self._daemons.append(daemon)
         typer.echo(self._layout.guide_text(self._layout.token))
--- a/src/carobhook/cli/operator.py
+++ b/src/carobhook/cli/operator.py
@@ -17,8 +17,10 @@
 
 from carobhook.state import codes, ids
 
+# Timeout of each attempt.
 REQUEST_TIMEOUT_S = 10.0
 MAX_ATTEMPTS = 3
+# Delay before the first retry; each further retry waits this much longer than the one before.
 _RETRY_DELAY_S = 0.3
 
 _T = typing.TypeVar("_T")
@@ -43,8 +45,8 @@
 
     Attributes:
         text: The order as the operator wrote it.
-        id: Random id, the same in all attempts to send the order, by which the daemon
-            recognises a repeated one.
+        id: Random id. All attempts to send the order have the same one, so that the daemon
+            recognises a repetition and applies the order once.
     """
 
     text: str
@@ -58,8 +60,8 @@
     Attributes:
         code: Number of the result code.
         text: Result in one sentence, for people.
-        version: Version of the orders that the order made or that the answer describes, None
-            if there is neither.
+        version: Version of the orders that an accepted order created, or that a query is about;
+            None if there is neither.
         columns: Column names of the table that answers a query, None without a table.
         rows: Rows of the table, with one value for each column.
     """
@@ -78,7 +80,7 @@
 
 @attrs.frozen
 class Progress:
-    """Progress of a version of the orders towards being in force in all live instances.
+    """Progress of a version of the orders: the live instances in which it is in force.
 
     Attributes:
         version: The version.
@@ -123,7 +125,8 @@
         reactor: Reactor for connections and timers.
         address: ``host:port`` of the operator port.
         token: The operator's token.
-        ca_file: PEM file of trusted authorities; enables TLS if it is given.
+        ca_file: PEM file; its first certificate is the only trusted authority. Enables TLS if
+            it is given.
     """
 
     def __init__(
@@ -195,15 +198,15 @@
 
 
 def _agent(reactor: Any, ca_file: pathlib.Path | None) -> Any:
-    """Return an HTTP agent that, if a file is given, trusts only the authorities in it."""
+    """Return an HTTP agent; if a file is given, it trusts only the file's first certificate."""
     if ca_file is None:
         return client.Agent(reactor)
-    authorities = ssl.trustRootFromCertificates([ssl.Certificate.loadPEM(ca_file.read_bytes())])
-    return client.Agent(reactor, client.BrowserLikePolicyForHTTPS(authorities))
+    trust_root = ssl.trustRootFromCertificates([ssl.Certificate.loadPEM(ca_file.read_bytes())])
+    return client.Agent(reactor, client.BrowserLikePolicyForHTTPS(trust_root))
 
 
 def _describe_error(exc: BaseException) -> str:
-    """Return a text for people that says why an attempt got no answer."""
+    """Return the reason why an attempt got no answer, for people."""
     if isinstance(exc, error.ConnectionRefusedError):
         return "connection refused"
     if isinstance(exc, (defer.TimeoutError, error.TimeoutError)):
--- a/src/carobhook/cli/output.py
+++ b/src/carobhook/cli/output.py
@@ -50,7 +50,7 @@
 
 
 class TablePrinter:
-    """Prints tables and sentences; errors and incomplete progress go to standard error."""
+    """Prints tables and plain text; errors and incomplete progress go to standard error."""
 
     def __init__(self) -> None:
         width = None if sys.stdout.isatty() else _PIPE_WIDTH
@@ -103,7 +103,7 @@
 
 
 def describe_progress(progress: operator.Progress) -> str:
-    """Return the progress of a version as one sentence."""
+    """Return the progress of a version as one line of text."""
     text = (
         f"in force in {progress.in_force} of {progress.total} instances "
         f"after {progress.seconds:.1f} s"
--- a/src/carobhook/cli/reactor_runner.py
+++ b/src/carobhook/cli/reactor_runner.py
@@ -1,4 +1,4 @@
-"""Runs the reactor until a signal, and ends with one line of text if the start fails."""
+"""Runs the reactor until a signal, or prints one line of text if the start fails."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any
@@ -60,7 +60,7 @@
         defer.ensureDeferred(self._start()).addErrback(self._handle_start_failure)
 
     def handle_shutdown(self) -> defer.Deferred[Any]:
-        """Stop gracefully, unless the start failed and there is no work in flight."""
+        """Stop gracefully; after a failed start, there is no work in flight to complete."""
         if self.exit is not exits.Exit.OK:
             return defer.succeed(None)
         return defer.ensureDeferred(self._stop()).addErrback(_log_failure)
--- a/src/carobhook/cli/soak.py
+++ b/src/carobhook/cli/soak.py
@@ -29,7 +29,7 @@
 
     Exit codes: 0 all held, 1 something was broken, which is printed with the seed.
     """
-    # Imported here, because other commands need no reactor.
+    # Imported here, so that commands without a reactor do not load one.
     from twisted.internet import defer, reactor, task
 
     from carobhook.soak import run
@@ -37,7 +37,7 @@
     options = run.SoakOptions(instances, servers, duration_s)
     failed: list[int] = []
 
-    async def _run() -> None:
+    async def _run_seeds() -> None:
         for seed in range(first, first + seeds):
             directory = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
             try:
@@ -60,11 +60,13 @@
                 typer.echo(f"  broken: {line}")
 
     def _main(_reactor: object) -> defer.Deferred:
-        running = defer.ensureDeferred(_run())
+        running = defer.ensureDeferred(_run_seeds())
         running.addCallback(lambda _: exits.Exit.REFUSED if failed else exits.Exit.OK)
-        return running.addCallback(_exit_with)
+        return running.addCallback(_raise_exit)
 
-    def _exit_with(code: exits.Exit) -> None:
+    # task.react ends the process with the code of a SystemExit. It would log a typer.Exit as an
+    # error, and end with 1.
+    def _raise_exit(code: exits.Exit) -> None:
         if code is not exits.Exit.OK:
             raise SystemExit(int(code))
 
--- a/src/carobhook/cli/standin.py
+++ b/src/carobhook/cli/standin.py
@@ -63,7 +63,7 @@
     from twisted.internet import reactor
 
     from carobhook.cli import reactor_runner
-    from carobhook.platform import store as platform_store
+    from carobhook.platform import store as store_module
     from carobhook.standins import service_group
 
     try:
@@ -72,7 +72,7 @@
         exits.exit_with(exits.Exit.USAGE, f"error: --file {file}: {error}")
 
     async def _start() -> None:
-        client = platform_store.PlatformStore(reactor, store_address, 2.0)
+        client = store_module.PlatformStore(reactor, store_address, 2.0)
         await service_group.ServiceGroup(reactor, client).start(plans)
 
     reactor_runner.run_until_stopped(reactor, _start)
@@ -87,11 +87,11 @@
     host: Annotated[str, typer.Option("--host", help="Host of the requests.")],
     repeatable: Annotated[
         list[str], typer.Option("--repeatable", help="Path prefix; may be repeated.")
-    ] = [],  # noqa: B006 - the default is never changed.
+    ] = [],  # noqa: B006 - the default is never mutated.
     once: Annotated[
         list[str],
         typer.Option("--once", help="Path prefix of what may run once; may be repeated."),
-    ] = [],  # noqa: B006 - as above.
+    ] = [],  # noqa: B006 - never mutated.
     region: Annotated[str, typer.Option("--region")] = "",
     failure_domain: Annotated[str, typer.Option("--failure-domain")] = "",
     rate: Annotated[float, typer.Option("--rate", min=0.01, help="Requests a second.")] = 20.0,
--- a/src/carobhook/emulator/model.py
+++ b/src/carobhook/emulator/model.py
@@ -9,7 +9,9 @@
 
 # Work time on an object that the server has in its cache, as a share of the full work time.
 _CACHED_WORK_SHARE = 0.3
+# Number of objects that each server caches.
 _CACHE_SIZE = 24
+# Range of the random factor by which each work time is multiplied.
 _WORK_TIME_JITTER = (0.8, 1.2)
 
 
@@ -21,8 +23,8 @@
         name: Its name.
         weight: Weight of the kind in the mix of all requests.
         work_s: Mean work time in seconds on an object that the server has not cached.
-        target_s: Seconds after arrival by which an answer is in time.
-        deadline_s: Seconds that the client waits for an answer.
+        target_s: Longest response time in seconds of an answer that is in time.
+        deadline_s: Seconds after arrival at which the client stops waiting for an answer.
         priority: Rank of the requests; 0 is the most urgent.
         objects: Number of distinct objects that the requests refer to.
     """
@@ -37,6 +39,7 @@
 
 
 DEFAULT_KINDS = (
+    # Name, weight, work_s, target_s, deadline_s, priority, objects.
     RequestKind("browse", 0.6, 0.64, 0.5, 3.0, 1, 110),
     RequestKind("post", 0.3, 0.84, 1.2, 4.0, 0, 90),
     RequestKind("download", 0.1, 0.52, 0.4, 2.5, 2, 30),
@@ -68,7 +71,7 @@
 
     @property
     def arrival_rate(self) -> float:
-        """Return the mean number of requests that arrive a second."""
+        """Return the mean number of requests that arrive per second."""
         weights = sum(kind.weight for kind in self.kinds)
         mean_work_s = (
             sum(kind.weight * kind.work_s for kind in self.kinds) / weights * _CACHED_WORK_SHARE
@@ -96,12 +99,12 @@
 
     @property
     def target_at(self) -> float:
-        """Return the time in seconds until which an answer is in time."""
+        """Return the latest time in seconds at which an answer is in time."""
         return self.arrived_at + self.kind.target_s
 
 
 def generate_requests(scenario: Scenario) -> Iterator[Request]:
-    """Yield the requests of a scenario in the order of arrival, as a Poisson process."""
+    """Yield the requests of a scenario in order of arrival, which is a Poisson process."""
     rng = random.Random(scenario.seed)
     weights = [kind.weight for kind in scenario.kinds]
     now, number = 0.0, 0
@@ -148,7 +151,7 @@
         return request.kind.work_s * share * self.rng.uniform(*_WORK_TIME_JITTER)
 
     def cache_object(self, request: Request) -> None:
-        """Add the object of a request to the cache, or mark it as used most recently."""
+        """Cache a request's object; evict the least recently used one if the cache is full."""
         self._cache[request.object_key] = None
         self._cache.move_to_end(request.object_key)
         if len(self._cache) > _CACHE_SIZE:
--- a/src/carobhook/emulator/policies.py
+++ b/src/carobhook/emulator/policies.py
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class Placement:
-    """Sends a request to a server, which queues it while all of its slots are in use."""
+    """Decision to send a request to a server, which queues it while it has no free slot."""
 
     request: model.Request
     server: model.Server
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class Refusal:
-    """Refuses a request."""
+    """Decision to refuse a request."""
 
     request: model.Request
 
@@ -57,12 +57,13 @@
     def __init__(self, pool: Sequence[model.Server]) -> None:
         self._servers = {ids.Server(server.name): server for server in pool}
         self._requests: dict[ids.RequestId, model.Request] = {}
+        # The simulated clients send no retries, so the budget's limits have no effect.
         budget = retry_budget.RetryBudget(0.2, 50.0, 10.0)
         self._dispatcher = dispatcher.Dispatcher(budget)
         self._dispatcher.pool.replace((_server_offer(server) for server in pool), 0.0)
 
     def submit(self, request: model.Request, now: float) -> list[Decision]:
-        """Request a slot from the dispatcher."""
+        """Submit a slot request to the dispatcher."""
         slot_request = allocation.SlotRequest(
             ids.RequestId(str(request.number)),
             _SERVICE,
@@ -115,10 +116,10 @@
 
 
 class LeastBusyPolicy:
-    """Sends each request to the server with the fewest open requests of the same instance.
+    """Baseline that sends each request to the server with the fewest open requests.
 
-    An instance counts only the requests that it sent itself, so it does not know how busy a
-    server is with the requests of other instances.
+    An instance counts only the open requests that it sent itself, so it does not know how busy
+    a server is with the requests of other instances.
 
     Args:
         pool: The servers.
@@ -127,13 +128,13 @@
 
     def __init__(self, pool: Sequence[model.Server], instances: int) -> None:
         self._pool = list(pool)
-        self._open_requests = [
+        self._open_request_counts = [
             dict.fromkeys((s.name for s in pool), 0) for _ in range(instances)
         ]
 
     def submit(self, request: model.Request, now: float) -> list[Decision]:
         """Place the request at once."""
-        counts = self._open_requests[request.instance]
+        counts = self._open_request_counts[request.instance]
         # Each instance starts its search at another server. Otherwise all instances would
         # choose the same server whenever their counts are equal.
         offset = request.instance % len(self._pool)
@@ -146,7 +147,7 @@
         self, request: model.Request, server: model.Server, now: float
     ) -> list[Decision]:
         """Remove the request from its instance's count of the server."""
-        self._open_requests[request.instance][server.name] -= 1
+        self._open_request_counts[request.instance][server.name] -= 1
         return []
 
     def tick(self, now: float) -> list[Decision]:
@@ -155,11 +156,12 @@
 
 
 class IdealPolicy:
-    """Assigns each object to one server and runs only requests that will be answered in time.
+    """Assigns each object to one server and runs only requests that can be answered in time.
 
-    The server has the object in its cache before the first request for it. No real scheduler
-    can reach this result, because the first request for an object always finds it uncached.
-    The result serves as an upper bound on the requests that the slots can serve in time.
+    A server caches its objects before the first requests for them. A real scheduler cannot do
+    that, because the first request for an object always finds it uncached. The result serves
+    as an estimate of how many requests the slots can serve in time. It is not a strict upper
+    bound: with few servers, each has more objects than its cache holds and evicts some.
 
     Args:
         pool: The servers.
@@ -183,7 +185,7 @@
         return self._fill_slots(server, now)
 
     def tick(self, now: float) -> list[Decision]:
-        """Return no decisions, because only arrivals and completions lead to any."""
+        """Return no decisions, because slots are filled only at arrivals and completions."""
         return []
 
     def _assigned_server(self, request: model.Request) -> model.Server:
@@ -216,5 +218,5 @@
 
 
 def _will_be_in_time(request: model.Request, now: float) -> bool:
-    """Return whether a request with a cached object is sure to be in time if it starts now."""
+    """Return whether a request that starts now is surely in time if its object is cached."""
     return now + model.max_cached_work_s(request.kind) <= request.target_at
--- a/src/carobhook/emulator/simulation.py
+++ b/src/carobhook/emulator/simulation.py
@@ -17,6 +17,8 @@
 class RequestStats:
     """Outcomes and response times of the requests of one kind, or of all kinds.
 
+    A request that was answered after its deadline is neither in time nor late.
+
     Attributes:
         total: Number of requests that arrived.
         in_time: Number of requests that were answered by their target.
@@ -51,7 +53,9 @@
 
 
 def simulate(scenario: model.Scenario, policy: str) -> dict[str, RequestStats]:
-    """Return the statistics of a simulated run by request kind, and of all under "".
+    """Simulate a scenario and return its statistics by request kind.
+
+    The key "" has the statistics of all kinds together.
 
     Args:
         scenario: Servers and load.
@@ -71,7 +75,7 @@
         ]
         self._policy = POLICIES[policy](pool, scenario)
         self._scenario = scenario
-        # The sequence number keeps events of the same time in the order of scheduling.
+        # The sequence number orders events of the same time as they were scheduled.
         self._events: list[tuple[float, int, typing.Callable[[float], None]]] = []
         self._sequence_numbers = itertools.count()
         self._stats: dict[str, RequestStats] = collections.defaultdict(RequestStats)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -51,7 +51,7 @@
 
 
 def free_ports():
-    """Return ports for a demo, of which the first of each group is free.
+    """Return the ports of a demo; the first port of each kind is free.
 
     They are below the ephemeral ports, which the system may assign to other connections.
     """
@@ -113,7 +113,7 @@
         assert result.exit_code == 0
         assert result.stdout == "".join(f"{file}: ok\n" for file in files)
 
-    def test_each_fault_has_one_line(self, tmp_path):
+    def test_each_fault_prints_one_line(self, tmp_path):
         """Each fault in a file is reported on one line, and the exit code is 2."""
         path = tmp_path / "bad.toml"
         text = (_EXAMPLES / "zema.toml").read_text("utf-8")
@@ -131,7 +131,7 @@
 class TestServe:
     """The command serve."""
 
-    def test_missing_settings_file_has_one_line(self, tmp_path):
+    def test_missing_settings_file_prints_one_line(self, tmp_path):
         """A daemon without a readable settings file does not start."""
         result = invoke("serve", "--settings", tmp_path / "missing.toml")
 
@@ -139,8 +139,8 @@
         assert result.stderr.count("\n") == 1
 
     @pytest.mark.parametrize("key", ["http", "peers", "operators"])
-    def test_address_in_use_has_one_line(self, layout, key):
-        """A port in use gives exit code 5 and a line with the address, without a traceback."""
+    def test_address_in_use_prints_one_line(self, layout, key):
+        """A port in use gives exit code 5 and one line with the address, and no traceback."""
         demo_layout, directory = layout
         file = demo.settings_path(directory, demo_layout.instances[0][0])
         host, _, port = getattr(entry_settings.load(file).place, key).rpartition(":")
@@ -167,7 +167,7 @@
 
 
 class TestCtl:
-    """The command ctl without a daemon."""
+    """The command ctl when no daemon runs."""
 
     @pytest.mark.parametrize(
         ("arguments", "env", "message"),
@@ -181,7 +181,7 @@
             (["--ca-file", "no/such", "show"], {"CAROBHOOK_TOKEN": "t"}, "--ca-file no/such"),
         ],
     )
-    def test_bad_usage_has_one_line(self, arguments, env, message):
+    def test_bad_usage_prints_one_line(self, arguments, env, message):
         """Invalid options give exit code 2 and one line."""
         result = invoke("ctl", *arguments, env={"CAROBHOOK_TOKEN": None, **env})
 
@@ -189,7 +189,7 @@
         assert message in result.stderr
         assert result.stderr.count("\n") == 1
 
-    def test_unreachable_daemon_has_one_line(self):
+    def test_unreachable_daemon_prints_one_line(self):
         """Without a daemon, ctl gives exit code 3 and one line."""
         with socket.socket() as closed:
             closed.bind(("127.0.0.1", 0))
@@ -206,7 +206,7 @@
 class TestStandin:
     """The command standin."""
 
-    def test_port_in_use_has_one_line(self):
+    def test_port_in_use_prints_one_line(self):
         """A stand-in whose port is in use gives exit code 5 and one line."""
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = listener.getsockname()[1]
@@ -234,7 +234,7 @@
         assert loaded[0].security.operators == {"demo": demo.token_hash(token)}
         assert {file.stat().st_mode & 0o777 for file in (*files, token_file)} == {0o600}
 
-    def test_unwritable_directory_has_one_line(self, tmp_path):
+    def test_unwritable_directory_prints_one_line(self, tmp_path):
         """If the directory is an existing file, the exit code is 2 and there is one line."""
         blocked = tmp_path / "file"
         blocked.write_text("")
--- a/tests/test_demo_script.py
+++ b/tests/test_demo_script.py
@@ -27,7 +27,7 @@
 
 
 def free_base_port():
-    """Return a base port at which the first port of each group is free.
+    """Return a base port for a demo; the first port of each kind is free.
 
     All ports are below the ephemeral ones, which the system may assign to other connections.
     """
@@ -100,7 +100,7 @@
         return self.carobhook("ctl", "--token-file", token, *order)
 
     def call(self, path, method="GET", body=None, **headers):
-        """Return result code, run status and body of a request; retry while it was not run."""
+        """Send a request, retried while it was not run; return code, run status and body."""
         deadline = time.monotonic() + _RETRY_TIMEOUT_S
         while True:
             code, run_status, response_body = self.call_once(path, method, body, headers)
@@ -114,8 +114,8 @@
         request = urllib.request.Request(url, body, headers, method=method)
         try:
             response = urllib.request.urlopen(request, timeout=30)
-        except urllib.error.HTTPError as refusal:
-            response = refusal
+        except urllib.error.HTTPError as error_response:
+            response = error_response
         with response:
             fields = response.headers
             return fields["Carobhook-Code"], fields["Carobhook-Run"], response.read()
@@ -146,7 +146,7 @@
 
 
 def check_orders(deployment):
-    """Check an order in force, one that the cap slows down, a refusal and the change log."""
+    """Check an accepted, a capped and a refused order, a drain, and the log of changes."""
     order = ("shift", "catalogue", "from", "addis", "to", "kigali", "by")
     code, output = deployment.ctl("plan", *order, "10%")
     assert code == 0, output
@@ -156,6 +156,8 @@
     code, output = deployment.ctl(*order, "80%")
     assert code == 0, output
     _code, table = deployment.ctl("show", "shifts")
+    # The second percentage of a row is the share that has moved so far. The cap limits what
+    # moves within a window of time; the bound allows for two windows.
     applied = [
         re.findall(r"([\d.]+)%", line)[1] for line in table.splitlines()[1:] if "%" in line
     ]
@@ -170,7 +172,7 @@
 
 
 def check_graceful_stop(deployment):
-    """Check that an instance breaks no request when it stops on SIGTERM."""
+    """Check that no request is lost when an instance stops on SIGTERM."""
     load = ["standin", "clients", "--rate", "40", "--duration", "8", "--seed", "7"]
     load += ["--region", "addis", "--failure-domain", "addis-a", "--host", "demo.example"]
     load += ["--once", "/licences/", "--repeatable", "/stems/"]
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -28,8 +28,8 @@
         assert 0.93 < work_s / capacity_s < 1.07
         assert {request.instance for request in requests} == set(range(9))
 
-    def test_object_is_cached_until_many_others_are(self):
-        """A server needs less time for a cached object, and evicts the least recent one."""
+    def test_least_recently_used_object_is_evicted(self):
+        """A server needs less time for a cached object, until newer objects evict it."""
         server = model.Server("s", 4, random.Random(1))
         kind = model.DEFAULT_KINDS[0]
         requests = [model.Request(n, kind, f"o{n}", 0, 0.0) for n in range(30)]
@@ -53,7 +53,7 @@
         assert len(overall.response_times_s) + overall.refused == overall.total
 
     def test_ideal_policy_uses_the_capacity(self):
-        """Nearly all requests are in time below capacity; above it, the slots stay in use."""
+        """Nearly all requests are in time at load 0.6, and nearly half of them at load 2."""
         assert simulate("ideal", 0.6)[""].share_in_time > 0.97
         assert simulate("ideal", 2.0)[""].share_in_time > 0.45
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -12,9 +12,9 @@
 
 
 class ScriptedPort:
-    """Operator port that answers orders from a script.
+    """Operator port whose responses to orders are given in advance.
 
-    An entry of None closes the connection without an answer.
+    The script has the body of each response; None closes the connection without a response.
     """
 
     def __init__(self, script):
@@ -25,17 +25,17 @@
         )
 
     def handle(self, inbound, answer):
-        """Answer an order with the next entry, and other requests with a fixed progress."""
+        """Answer an order with the next response, and a GET with a fixed progress."""
         if inbound.head.method == b"GET":
             version = int(inbound.head.target.rpartition(b"/")[2])
-            state = {
+            progress = {
                 "version": version,
                 "in_force": 1,
                 "total": 2,
                 "missing": ["b"],
                 "seconds": 1.5,
             }
-            answer(http1.Response(200, b"OK", (), json.dumps(state).encode()))
+            answer(http1.Response(200, b"OK", (), json.dumps(progress).encode()))
             return
         self.received_orders.append(
             (inbound.head.get("authorization"), json.loads(inbound.body))
@@ -86,7 +86,7 @@
         assert len(ids) == 2 and len(set(ids)) == 1
 
     async def test_body_that_is_no_answer_raises(self):
-        """A server that is no daemon causes an UnexpectedAnswerError."""
+        """A response that no daemon sends raises UnexpectedAnswerError."""
         client = self.connect(b"<html>hello</html>")
 
         with self.assertRaises(operator.UnexpectedAnswerError):
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -19,13 +19,13 @@
 
 
 def progress(in_force):
-    """Return a progress of version 4, in force in some of three instances."""
+    """Return the progress of version 4, in force in a number of three instances."""
     missing = ["c", "b", "a"][: 3 - in_force]
     return operator.Progress(4, in_force, 3, missing, 0.25 * in_force)
 
 
 class FakeClient:
-    """Returns prepared answers, and raises those that are exceptions."""
+    """Client that returns prepared answers, or raises the exceptions among them."""
 
     def __init__(self, answers, progresses=()):
         self.answers = list(answers)
@@ -68,7 +68,7 @@
     )
 
 
-class TestRun:
+class TestRunOrder:
     """One order."""
 
     @pytest.mark.parametrize(
@@ -87,7 +87,7 @@
         assert make_session(FakeClient([answer], progresses)).run_order("an order") is code
 
     def test_session_waits_until_an_order_is_in_force(self, capsys):
-        """The last line has the number of instances and the time that it took."""
+        """The last line has the number of instances and the seconds that the order took."""
         fake = FakeClient([_ACCEPTED], [progress(0), progress(1), progress(3)])
 
         make_session(fake, output.TablePrinter()).run_order("shift")
@@ -107,7 +107,7 @@
         )
 
     def test_table_in_a_pipe_has_whole_cells(self, capsys):
-        """A long cell is not broken into lines if the output is no terminal."""
+        """A long cell is not broken into lines if the output is not a terminal."""
         make_session(FakeClient([_TABLE]), output.TablePrinter()).run_order("show servers")
 
         out = capsys.readouterr().out
@@ -128,12 +128,12 @@
         """The JSON object has the fields of the answer and the progress."""
         make_session(FakeClient([_ACCEPTED], [progress(3)])).run_order("shift")
 
-        found = json.loads(capsys.readouterr().out)
-        assert found["code"] == 2001
-        assert found["progress"]["in_force"] == 3
+        printed = json.loads(capsys.readouterr().out)
+        assert printed["code"] == 2001
+        assert printed["progress"]["in_force"] == 3
 
 
-class TestRunAll:
+class TestRunOrders:
     """Several orders."""
 
     def test_run_stops_at_the_first_failed_order(self):
