--- a/src/carobhook/coordination/operator_queries.py
+++ b/src/carobhook/coordination/operator_queries.py
@@ -20,8 +20,9 @@
 
     Attributes:
         code: Result code.
-        text: One sentence, empty for the text of the code.
-        version: Version of the orders in force after an order, or that a query is about.
+        text: One sentence; if empty, the text of the code is used.
+        version: For an order, the version of the orders that it produced. For a query, the
+            version that the answer describes.
         columns: Names of the table's columns.
         rows: Rows of the table.
     """
@@ -41,7 +42,7 @@
         orders: Orders in force, and the share of each that this instance has applied.
         config: Configuration in force, None before the first.
         servers: Servers that may be used.
-        live_members: Live instances, from which a message came recently.
+        live_members: Live instances, that is, those that sent a message recently.
         loads: Loads of the shards, as reported by their dispatchers.
         regions: Regions by failure domain.
     """
@@ -169,7 +170,7 @@
 ) -> Answer:
     """Return the slots and demand to expect if a command is given and takes full effect.
 
-    The command is only checked, and the orders in force stay as they are.
+    The command is applied to a copy; the orders in force stay as they are.
 
     Args:
         command: The command.
--- a/src/carobhook/coordination/order_commands.py
+++ b/src/carobhook/coordination/order_commands.py
@@ -263,23 +263,29 @@
 
 
 def _validated_cap(
-    override: statements.CapOverride | None, general: orders.Cap
+    override: statements.CapOverride | None, configured: orders.Cap
 ) -> orders.Cap | None:
-    """Return the cap that an order sets for itself, or None if the general one applies to it.
+    """Return the cap that an order sets for itself, or None if it sets none.
+
+    Args:
+        override: Cap in the command, None if the command has none.
+        configured: Cap of the service, or the general cap, that the override is compared with.
 
     Raises:
-        OrderError: The cap is zero, or it is wider than the general one (a larger share in a
-            window, or in a second) and not an emergency cap.
+        OrderError: The override is zero, or it is wider than the configured cap (a larger share
+            in a window, or in a second) and not an emergency cap.
     """
     if override is None:
         return None
     if override.cap.share <= 0:
         raise OrderError(codes.Code.ORDER_INVALID, "a cap of 0% would let nothing move")
     rate = override.cap.share / override.cap.window_s
-    is_wider = override.cap.share > general.share or rate > general.share / general.window_s
+    is_wider = (
+        override.cap.share > configured.share or rate > configured.share / configured.window_s
+    )
     if is_wider and not override.emergency:
         text = (
-            f"the cap is wider than {general.share:.0%} per {general.window_s:g}s; "
+            f"the cap is wider than {configured.share:.0%} per {configured.window_s:g}s; "
             "an emergency cap may be"
         )
         raise OrderError(codes.Code.ORDER_OVER_CAP, text)
@@ -325,9 +331,9 @@
 
 
 def _next_occurrence(second_of_day: int | None, after: float) -> float:
-    """Return the first time from `after` on at which it is a given time of day in UTC.
+    """Return the first wall-clock time, not before `after`, at a given time of day in UTC.
 
-    Without a time of day, this is `after` itself.
+    If no time of day is given, return `after` itself.
     """
     if second_of_day is None:
         return after
--- a/src/carobhook/coordination/order_rollout.py
+++ b/src/carobhook/coordination/order_rollout.py
@@ -19,10 +19,10 @@
 
 
 def scheduled_share(goal: float, span: orders.Span, cap: orders.Cap, wall_time: float) -> float:
-    """Return the share that an order should keep moved at a given time.
+    """Return the share that an order should have in effect at a given time.
 
-    The share grows in steps from the start of the order. After its end, the share that it
-    had reached returns in smaller steps.
+    The share grows in steps from the start of the order. After the end of the order, it falls
+    back to zero in smaller steps from the value that it had reached.
 
     Args:
         goal: Share that the order moves once it has taken full effect.
--- a/src/carobhook/coordination/order_store.py
+++ b/src/carobhook/coordination/order_store.py
@@ -57,8 +57,8 @@
                 await self._write(changed, object_version)
                 return changed
             except objects.ConflictError:
-                # Another write came first. It may be that of this order, if the answer to an
-                # earlier attempt was lost, so read the orders again.
+                # Another write came first. If the answer to an earlier attempt was lost, that
+                # attempt may have been the other write, so read the orders again.
                 continue
             except objects.OutcomeUnknownError as error:
                 unknown_outcome = error
--- a/src/carobhook/coordination/refusals.py
+++ b/src/carobhook/coordination/refusals.py
@@ -4,7 +4,8 @@
 
 from carobhook.state import codes
 
-# These tell the client that the request was not run, so they are not sent if it may have run.
+# These tell the client that the request was not run. They are not sent if it may have run, as a
+# client that repeats it could have it run twice.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 # These leave open whether the request was run, so a client must not repeat it.
 _AMBIGUOUS_STATUSES = frozenset({502, 504})
--- a/src/carobhook/coordination/request_routing.py
+++ b/src/carobhook/coordination/request_routing.py
@@ -12,8 +12,8 @@
 # Subtracted from the client's time left: a response that is sent only at the client's deadline
 # would arrive after it.
 _CLIENT_MARGIN_S = 0.03
-# The next two are for requests that name a service, as they have no route to take them from.
-# Latency target, as a fraction of the client's time left.
+# Requests that name a service have no configured route, so the next two constants replace the
+# settings of a route. Latency target, as a fraction of the client's time left.
 _CALL_TARGET_FRACTION = 0.5
 # Maximum number of servers that such a request is sent to.
 _CALL_MAX_ATTEMPTS = 2
@@ -24,7 +24,7 @@
     """Where a request is sent and how long it may take.
 
     Attributes:
-        route: Route of the request.
+        route: Route of the request; made from the call if the request names its service.
         service: Service that runs the request.
         region: Region whose dispatcher is asked for a slot.
         fallback: Region to ask if the first refuses, None for none.
@@ -48,9 +48,10 @@
 
     Load pattern: a client that was refused sends its request again, with less time left. If the
     latency target started anew with each attempt, a response would count as timely although the
-    client has waited for longer. So the router takes the longest time left that it has seen on
-    a route for the time that a client has at its first attempt. A request with less time left
-    has waited for the difference, and its target is earlier by as much.
+    client has waited for longer. So the router assumes that each client's first attempt had the
+    longest time left seen on the route, where the default counts for clients that state none. A
+    client that states less is assumed to have waited for the difference, and the target of its
+    request is earlier by as much.
 
     Attributes:
         region: Region of this instance.
--- a/src/carobhook/coordination/steering.py
+++ b/src/carobhook/coordination/steering.py
@@ -35,7 +35,7 @@
         return self._in_force
 
     def replace_if_newer(self, candidate: orders.OrderState) -> bool:
-        """Replace the orders in force by a newer version; return whether they were replaced."""
+        """Replace the orders in force with a newer version; return whether it was newer."""
         if candidate.version <= self._in_force.version:
             return False
         self._in_force = candidate
@@ -73,7 +73,11 @@
         now: float,
         wall_time: float,
     ) -> float:
-        """Return the share of an order to apply now, and record the step with its limiters."""
+        """Return the share of an order to apply now.
+
+        A change of the share is limited, and recorded with the limiters of the order, except
+        in the first call of `advance`.
+        """
         cap = self._in_force.cap_of(order)
         goal = order.share if isinstance(order, orders.Shift) else 1.0
         scheduled = order_rollout.scheduled_share(goal, order.span, cap, wall_time)
