--- a/src/carobhook/platform/durations.py
+++ b/src/carobhook/platform/durations.py
@@ -9,10 +9,10 @@
     """Return the seconds of a duration such as ``1500ms`` or ``2.5s``.
 
     Args:
-        value: The text.
+        value: Decoded field of an object or setting, of any type.
 
     Raises:
-        ValueError: The value is not a text of this form.
+        ValueError: The value is not a string of this form.
     """
     match = _DURATION.fullmatch(value) if isinstance(value, str) else None
     if match is None:
--- a/src/carobhook/platform/names.py
+++ b/src/carobhook/platform/names.py
@@ -4,8 +4,10 @@
 instance, so the constants below say "server".
 """
 
+# Id that the client gives a request. A client that retries a request gives it a new id. The
+# attempts that an entry instance makes for one request all carry the same id.
 REQUEST_ID = "x-attempt-id"
-# Milliseconds for which the client still waits, not a point in time.
+# Milliseconds for which the client still waits; despite the header's name not a point in time.
 TIME_LEFT_MS = "x-deadline-ms"
 # Key of the object that the request concerns.
 OBJECT_KEY = "x-affinity-key"
@@ -13,6 +15,7 @@
 EXPECTED_SERVER = "x-expected-instance"
 # Id of the backend server that answered.
 SERVER_ID = "x-instance-id"
+# Present in a response if the backend server did not run the request.
 NOT_EXECUTED = "x-not-executed"
 
 RESOLVE_PATH = "/-/resolve"
--- a/src/carobhook/platform/objects.py
+++ b/src/carobhook/platform/objects.py
@@ -109,7 +109,8 @@
         name=_require(raw, "Name", str),
         host=_require(raw, "Host", str),
         prefix=_require(raw, "PathPrefix", str),
-        # Requests of an unknown kind are never sent twice.
+        # Requests of an unknown kind run at most once, because another run might repeat
+        # their effects.
         idempotency=_IDEMPOTENCY_OF_KIND.get(kind, routing.Idempotency.ONCE),
         timeout_s=durations.parse_seconds(raw["Timeout"]),
         target_s=durations.parse_seconds(raw["TargetLatency"]),
--- a/src/carobhook/platform/requests.py
+++ b/src/carobhook/platform/requests.py
@@ -15,7 +15,7 @@
 
 
 def request_id(head: http1.RequestHead) -> str | None:
-    """Return the id that the client gave its attempt, or None."""
+    """Return the id that the client gave a request, or None."""
     return head.get(names.REQUEST_ID)
 
 
@@ -57,13 +57,14 @@
         return http1.RequestHead(head.method, head.target, tuple(headers))
 
     def matches_attempt(self, response: http1.Response, client_request_id: str | None) -> bool:
-        """Return whether a response belongs to a client's attempt.
+        """Return whether a response belongs to the request that it was received for.
 
-        A response without an id, or to an attempt without one, counts as belonging to it.
+        If the response or the request has no id, the two cannot be compared, and the response
+        is accepted.
 
         Args:
             response: Response of a backend server.
-            client_request_id: Id that the client gave the attempt, or None.
+            client_request_id: Id that the client gave the request, or None.
         """
         response_id = response.get(names.REQUEST_ID)
         return (
--- a/src/carobhook/platform/store.py
+++ b/src/carobhook/platform/store.py
@@ -14,8 +14,8 @@
 from carobhook.transport import server_connections
 
 _JSON = b"application/json"
-# The store answers a watch when its wait is over. Without an answer this much later, the
-# connection counts as dead and the watch fails.
+# The store answers a watch at the latest when its wait time is over. If the answer is this much
+# later, the connection is considered dead and the watch fails.
 _WATCH_MARGIN_S = 0.7
 # No object of this name exists, so that a probe costs the store only a short 404.
 _PROBE_KIND = "probes"
@@ -26,7 +26,8 @@
     """Client of the platform's store.
 
     The value of an object is its ``Spec``. For the kinds in ``full_object_kinds`` it is the
-    whole object with ``Metadata`` and ``Status``, because other writers set the ``Status``.
+    whole object with ``Metadata`` and ``Status``, because other programs write these objects
+    and set their ``Status``, which the ``Spec`` does not include.
 
     Args:
         reactor: Source of time and timers.
@@ -187,6 +188,7 @@
             received = await pending
         except defer.CancelledError as error:
             if timer.active():
+                # The caller cancelled the call, not the timer.
                 raise
             self._connections.discard_idle(self._address)
             raise TimeoutError(f"no answer in {timeout_s:g} s") from error
@@ -205,7 +207,7 @@
         if not event["Removed"]:
             return objects.WatchEvent(kind, stored.name, stored.version, stored.value)
         # The event of a removal may have the revision of the object's last change, which is
-        # older than the removal.
+        # older than the removal. The watch would drop such an event as already known.
         version = max(stored.version, since + 1)
         return objects.WatchEvent(kind, stored.name, version, None)
 
--- a/src/carobhook/soak/checks.py
+++ b/src/carobhook/soak/checks.py
@@ -7,11 +7,11 @@
 
 from carobhook.standins import platform_client
 
-# The recovery is measured this many seconds after the last fault; nearly all requests must then
-# be served.
+# Seconds from the end of the load and of all faults to the load that measures the recovery. At
+# least `_MIN_SERVED_SHARE` of the latter must be served.
 RECOVERY_S = 4.0
 _MIN_SERVED_SHARE = 0.95
-# Seconds after which a server that reports draining must get no more requests.
+# Seconds within which instances must stop sending requests to a server that reports draining.
 DRAIN_LIMIT_S = 2.5
 # A connection that ends this soon after a request was sent may have been closed by its peer
 # before the request arrived, so that no instance read the request.
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class Run:
-    """One run of a request on a backend server.
+    """One execution of a request by a backend server.
 
     Attributes:
         attempt_id: Id that the client gave its attempt.
@@ -63,7 +63,7 @@
         if attempt.status == 200 and not run_counts[attempt.id]:
             violations.append(f"{attempt.id} was served and never ran")
         if attempt.status in (400, 401, 403, 404):
-            violations.append(f"{attempt.id} is proper and got {attempt.status}")
+            violations.append(f"{attempt.id} is valid and got {attempt.status}")
     sent_ids = {attempt.id for _, attempt in attempts}
     violations += [
         f"{run.attempt_id} ran and no client sent it"
@@ -77,7 +77,7 @@
     runs: Iterable[Run],
     attempts: Iterable[tuple[platform_client.RequestPlan, platform_client.Attempt]],
 ) -> list[str]:
-    """Return the attempts that were interrupted, which planned work must not cause.
+    """Return one line for each interrupted attempt; planned work must not interrupt any.
 
     Attempts with status 500, 502 or 504 and attempts without a response count as interrupted.
     An attempt without a response is accepted if no server ran it and it failed within
@@ -91,8 +91,8 @@
     run_ids = {run.attempt_id for run in runs}
     violations = []
     for _, attempt in attempts:
-        crossed_close = attempt.id not in run_ids and attempt.duration_s <= CLOSE_RACE_S
-        if attempt.status in (500, 502, 504) or (attempt.status == 0 and not crossed_close):
+        lost_in_close = attempt.id not in run_ids and attempt.duration_s <= CLOSE_RACE_S
+        if attempt.status in (500, 502, 504) or (attempt.status == 0 and not lost_in_close):
             violations.append(
                 f"{attempt.id} got {attempt.status or 'no answer'} under planned work only"
             )
@@ -102,7 +102,9 @@
 def find_late_sends(
     runs: Iterable[Run], draining_periods: Iterable[tuple[str, float, float]]
 ) -> list[str]:
-    """Return the requests that a server got too long after it reported draining.
+    """Return one line for each request that reached a draining server too late.
+
+    Too late means more than `DRAIN_LIMIT_S` after the server reported draining.
 
     Args:
         runs: All runs on all servers.
--- a/src/carobhook/soak/deployment.py
+++ b/src/carobhook/soak/deployment.py
@@ -118,6 +118,7 @@
         self.store.put(names.CONFIG_KIND, names.CONFIG_NAME, spec)
 
     async def _free_ports(self) -> dict[str, int]:
+        """Return one unused port number for each listener of an instance, by setting name."""
         keys = ("http", "readiness", "directory", "peers", "metrics")
         listeners = [
             self._reactor.listenTCP(0, protocol.Factory(), interface=demo.HOST) for _ in keys
@@ -147,7 +148,7 @@
         (self._directory / f"i{index}.toml").write_text(demo.render_settings(sections), "utf-8")
 
     def start_instance(self, index: int) -> None:
-        """Start the process of an instance unless it is running."""
+        """Start the process of an instance, unless it is running already."""
         process = self._processes.get(index)
         if process is not None and process.poll() is None:
             return
--- a/src/carobhook/soak/faults.py
+++ b/src/carobhook/soak/faults.py
@@ -17,13 +17,16 @@
     STORE_REFUSES = "store-refuses"
     STORE_SILENT = "store-silent"
     STORE_DELAYED = "store-delayed"
+    # Calls reach the store, and its responses are dropped.
     STORE_LOSES_ANSWERS = "store-loses-answers"
+    # The store drops its event history, so that watches expire.
     STORE_FORGETS = "store-forgets"
     SERVER_RESETS = "server-resets"
     SERVER_SILENT = "server-silent"
     SERVER_DELAYED = "server-delayed"
     SERVER_SHEDS = "server-sheds"
     SERVER_FAILS = "server-fails"
+    # The server sends bytes that are not an HTTP response.
     SERVER_GARBLES = "server-garbles"
     SERVER_DRAINS = "server-drains"
     CONFIG_CHANGES = "config-changes"
@@ -41,7 +44,8 @@
         at_s: Seconds from the start of the load.
         fault: The fault.
         duration_s: Seconds for which the fault lasts, if it is not momentary.
-        target: Index from 0 of the instance or server, modulo their number.
+        target: Number that selects the instance or server: its index is the remainder of the
+            division by how many there are.
     """
 
     at_s: float
--- a/src/carobhook/soak/run.py
+++ b/src/carobhook/soak/run.py
@@ -90,7 +90,7 @@
             reactor, directory, options.instances, options.servers
         )
         self._rng = random.Random(seed)
-        self._running: list[defer.Deferred] = []
+        self._injections: list[defer.Deferred] = []
         self._draining_periods: list[tuple[str, float, float]] = []
         self._clients: list[platform_client.PlatformClient] = []
 
@@ -104,7 +104,7 @@
             load = self._load(self._options.duration_s + 2.0)
             await self._inject_faults(steps)
             await load
-            await defer.gatherResults(self._running)
+            await defer.gatherResults(self._injections)
             attempts_before_recovery = list(self._attempts())
             await task.deferLater(self._reactor, checks.RECOVERY_S)
             sent, served = self._totals()
@@ -116,7 +116,7 @@
             await self._deployment.stop()
 
     def _load(self, duration_s: float) -> defer.Deferred:
-        """Send requests from clients of two regions; fires when every request has ended."""
+        """Send requests from clients of two regions; the result fires when all have ended."""
         plans = demo.request_plans()
         running = []
         for region, zone in _CLIENT_ZONES:
@@ -138,15 +138,15 @@
         for step in steps:
             wait_s = started_at + step.at_s - self._reactor.seconds()
             await task.deferLater(self._reactor, max(0.0, wait_s))
-            self._running.append(defer.ensureDeferred(self._inject(step)))
+            self._injections.append(defer.ensureDeferred(self._inject(step)))
 
     async def _inject(self, step: faults.Step) -> None:
         fault, system = step.fault, self._deployment
-        instance = step.target % self._options.instances
-        server = step.target % len(system.servers)
+        instance_index = step.target % self._options.instances
+        server_index = step.target % len(system.servers)
         if fault in (faults.Fault.TERM, faults.Fault.KILL):
             signal_number = signal.SIGTERM if fault is faults.Fault.TERM else signal.SIGKILL
-            await self._restart(instance, signal_number)
+            await self._restart(instance_index, signal_number)
         elif fault is faults.Fault.KILL_ALL:
             await defer.gatherResults(
                 [
@@ -155,45 +155,47 @@
                 ]
             )
         elif fault is faults.Fault.PAUSE:
-            system.send_signal(instance, signal.SIGSTOP)
+            system.send_signal(instance_index, signal.SIGSTOP)
             await task.deferLater(self._reactor, step.duration_s)
-            system.send_signal(instance, signal.SIGCONT)
+            system.send_signal(instance_index, signal.SIGCONT)
         elif fault is faults.Fault.RELOAD:
-            system.write_settings(instance, ttl_max_s=3 + step.target % 3)
-            system.send_signal(instance, signal.SIGHUP)
+            system.write_settings(instance_index, ttl_max_s=3 + step.target % 3)
+            system.send_signal(instance_index, signal.SIGHUP)
         elif fault is faults.Fault.CONFIG_CHANGES:
             system.change_config()
         elif fault is faults.Fault.STORE_FORGETS:
             system.store.compact()
         elif fault is faults.Fault.SERVER_DRAINS:
-            await self._drain(server, step.duration_s)
+            await self._drain(server_index, step.duration_s)
         elif fault is faults.Fault.SERVER_RESETS:
-            system.server_proxies[server].reset()
+            system.server_proxies[server_index].reset()
         elif fault in _BEHAVIOURS:
-            await self._change_behaviour(system.servers[server], fault, step.duration_s)
+            await self._change_behaviour(system.servers[server_index], fault, step.duration_s)
         else:
             is_store = fault.value.startswith("store")
-            changed_proxy = system.store_proxy if is_store else system.server_proxies[server]
+            changed_proxy = (
+                system.store_proxy if is_store else system.server_proxies[server_index]
+            )
             await self._change_proxy_mode(changed_proxy, _PROXY_MODES[fault], step.duration_s)
 
     async def _restart(self, index: int, signal_number: signal.Signals) -> None:
         self._deployment.send_signal(index, signal_number)
         if signal_number is signal.SIGKILL:
-            # The process may be paused and must exit as well.
+            # A process that another fault has paused must exit as well.
             self._deployment.send_signal(index, signal.SIGCONT)
         await self._deployment.wait_for_exit(index)
         await task.deferLater(self._reactor, _RESTART_S)
         self._deployment.start_instance(index)
 
-    async def _drain(self, server: int, duration_s: float) -> None:
-        plan = self._deployment.server_plans[server]
+    async def _drain(self, server_index: int, duration_s: float) -> None:
+        plan = self._deployment.server_plans[server_index]
         if plan.name in self._deployment.draining_since:
             return
         started_at = self._reactor.seconds()
-        self._deployment.set_state(server, "draining")
+        self._deployment.set_state(server_index, "draining")
         await task.deferLater(self._reactor, duration_s + checks.DRAIN_LIMIT_S)
         self._draining_periods.append((plan.name, started_at, self._reactor.seconds()))
-        self._deployment.set_state(server, "ready")
+        self._deployment.set_state(server_index, "ready")
 
     async def _change_behaviour(
         self, server: platform_server.PlatformBackend, fault: faults.Fault, duration_s: float
@@ -212,7 +214,8 @@
         await task.deferLater(self._reactor, duration_s)
         changed_proxy.mode = proxy.Mode.PASS
         if mode in (proxy.Mode.SILENT, proxy.Mode.NO_ANSWERS):
-            # The dropped data is lost for good, so these connections cannot work again.
+            # These connections lost data and cannot work again. They are removed from the
+            # set, but not closed.
             for connection in list(changed_proxy.connections):
                 changed_proxy.connections.discard(connection)
 
@@ -245,6 +248,7 @@
         if {step.fault for step in steps} <= faults.PLANNED:
             violations += checks.find_interrupted(runs, attempts_before_recovery)
         store_faults = any(step.fault.value.startswith("store") for step in steps)
+        # During a fault of the store, instances may learn too late that a server drains.
         if not store_faults:
             violations += checks.find_late_sends(runs, self._draining_periods)
         violations += checks.check_recovery(served - served_before, sent - sent_before)
--- a/src/carobhook/standins/platform_client.py
+++ b/src/carobhook/standins/platform_client.py
@@ -30,7 +30,7 @@
         prefix: Path prefix of the route.
         repeatable: Whether a request may run more than once.
         time_left_s: Seconds for which the client waits, all attempts together.
-        object_count: Number of objects that the requests concern, chosen at random.
+        object_count: Number of objects; each request concerns one of them, chosen at random.
         weight: Relative frequency among the kinds.
     """
 
@@ -68,8 +68,8 @@
     """Counts of requests and attempts, and latencies.
 
     Attributes:
-        sent: Requests, each counted once however many attempts it took.
-        served: Requests that got a response with status 200.
+        sent: Number of requests, each counted once however many attempts it took.
+        served: Number of requests that got a response with status 200.
         statuses: Number of attempts by response status; 0 means no response.
         latencies_s: Seconds from the first attempt of each served request to its response.
         unanswered: Ids of the attempts without a response.
@@ -148,7 +148,12 @@
         await defer.gatherResults(running)
 
     async def request(self, plan: RequestPlan) -> Attempt:
-        """Send one request, and retry it while its kind and the response allow that."""
+        """Send one request, with retries, and return its last attempt.
+
+        An attempt is retried if the response says that it was not run, or if the request is
+        repeatable and the status is not 404. There is no retry if the wait before it would
+        take more than a third of the remaining time.
+        """
         started_at = self._reactor.seconds()
         deadline_at = started_at + plan.time_left_s
         self.report.sent += 1
@@ -173,7 +178,7 @@
     async def _attempt(self, plan: RequestPlan, key: str, remaining_s: float) -> Attempt:
         attempt_id = uuid.UUID(int=self._rng.getrandbits(128)).hex[:16]
         started_at = self._reactor.seconds()
-        address = await self._address(plan.host)
+        address = await self._choose_address(plan.host)
         if address is None:
             return Attempt(attempt_id, 0, self._reactor.seconds() - started_at)
         head = http1.RequestHead(
@@ -190,7 +195,7 @@
             response = await self._exchange(address, head, remaining_s + _RESPONSE_MARGIN_S)
         except server_connections.ExchangeError as error:
             if error.fault is server_connections.Fault.CONNECT:
-                # Nothing was sent, so another address is tried.
+                # Nothing was sent, so the request is safe to send to another address.
                 self._unreachable.add(address)
                 elapsed_s = self._reactor.seconds() - started_at
                 return await self._attempt(plan, key, remaining_s - elapsed_s)
@@ -222,7 +227,7 @@
         received = await exchange.addTimeout(timeout_s, self._reactor)
         return received.response
 
-    async def _address(self, host: str) -> str | None:
+    async def _choose_address(self, host: str) -> str | None:
         """Return the address to connect to, or None if no address is usable.
 
         Addresses are looked up again every `_LOOKUP_TTL_S` seconds; a failed look-up keeps the
--- a/src/carobhook/standins/platform_server.py
+++ b/src/carobhook/standins/platform_server.py
@@ -23,13 +23,14 @@
     """Settings of the stand-in's responses and failures.
 
     Attributes:
-        slots: Number of requests that the server runs at once; not enforced.
+        slots: Number of requests that the server is said to run at once; not enforced.
         work_s: Seconds for which a request runs.
         status: Status of the responses.
-        raw: Bytes sent in place of a response before the connection is closed, or None.
-        reset: Whether the connection is reset in place of a response.
-        extra: Bytes sent after each response.
-        shed: Whether requests are refused with 503 and the header that says not executed.
+        raw: Bytes sent in place of a response, or None. They are sent on every connection with
+            an open request, which is then closed.
+        reset: Whether, in place of a response, every connection with an open request is reset.
+        extra: Bytes sent after each response, on every open connection.
+        shed: Whether requests are refused with 503 and the header `names.NOT_EXECUTED`.
         body: Body of the responses.
         echo_id: Whether the body is the id of the attempt instead of ``body``.
     """
@@ -116,10 +117,10 @@
         self.heads.append(head)
         expected = head.get(names.EXPECTED_SERVER)
         if expected is not None and expected != self.name:
-            respond(self._reply(head, 421, b""))
+            respond(self._build_response(head, 421, b""))
             return None
         if self.behaviour.shed:
-            shed = self._reply(head, 503, b"", ((names.NOT_EXECUTED.encode(), b"1"),))
+            shed = self._build_response(head, 503, b"", ((names.NOT_EXECUTED.encode(), b"1"),))
             respond(shed)
             return None
         attempt_id = head.get(names.REQUEST_ID) or ""
@@ -132,6 +133,7 @@
         self.cancelled += 1
 
     def _finish(self, head: http1.RequestHead, respond: Respond) -> None:
+        """Send the response of a request, or the failure that ``behaviour`` sets."""
         behaviour = self.behaviour
         if behaviour.reset or behaviour.raw is not None:
             for connection in self._connections:
@@ -145,13 +147,13 @@
         body = behaviour.body
         if behaviour.echo_id:
             body = (head.get(names.REQUEST_ID) or "").encode()
-        respond(self._reply(head, behaviour.status, body))
+        respond(self._build_response(head, behaviour.status, body))
         if behaviour.extra:
             for connection in self._connections:
                 if connection.connected:
                     connection.transport.write(behaviour.extra)
 
-    def _reply(
+    def _build_response(
         self,
         head: http1.RequestHead,
         status: int,
--- a/src/carobhook/standins/platform_store.py
+++ b/src/carobhook/standins/platform_store.py
@@ -28,7 +28,8 @@
 
     Attributes:
         refuse_status: Status with which every call is refused; 0 to serve calls.
-        silent: Whether calls and watches get no response.
+        silent: Whether calls get no response, nor waiting watches an event. A watch that began
+            before still gets an empty response when its wait time is over.
     """
 
     def __init__(self) -> None:
@@ -103,7 +104,7 @@
             self._engine.delete(kind, name, existing.version, now)
 
     def compact(self) -> None:
-        """Drop the event history, so that watches expire and their callers list again."""
+        """Drop the event history, so that older watches expire and their callers list again."""
         self._engine.compact()
 
     def _handle(
@@ -202,6 +203,12 @@
                 self._remove_watch(watch)
 
     def _answer_watch(self, watch: _Watch, allow_empty: bool = False) -> bool:
+        """Send a watch its events, and return whether a response was sent.
+
+        Args:
+            watch: The watch.
+            allow_empty: Whether to respond even if there are no events.
+        """
         batch = self._engine.events_since((watch.kind,), watch.since)
         if not batch.events and not allow_empty:
             return False
--- a/src/carobhook/standins/service_group.py
+++ b/src/carobhook/standins/service_group.py
@@ -24,7 +24,7 @@
         service: Service that the server runs.
         zone: Failure domain of the server.
         address: ``host:port`` to listen on.
-        slots: Number of requests that the server runs at once.
+        slots: Number of requests that the server registers to run at once; not enforced.
         work_s: Seconds for which a request runs.
     """
 
@@ -98,13 +98,14 @@
             await self._register(plan)
 
     async def _register(self, plan: ServerPlan) -> None:
-        """Write a server's entry, with a retry until the store accepts it."""
+        """Write a server's entry, and retry until the store accepts it."""
         while True:
             try:
                 existing = await self._store.get(names.SERVERS_KIND, plan.name)
                 if existing is None:
                     await self._store.create(names.SERVERS_KIND, plan.name, server_spec(plan))
                 else:
+                    # Not a time, but a number that increases with every registration.
                     value = server_spec(plan, started_at_ms=existing.version + 1)
                     await self._store.update(
                         names.SERVERS_KIND, plan.name, value, existing.version
--- a/tests/store_access.py
+++ b/tests/store_access.py
@@ -29,6 +29,7 @@
             raise objects.UnavailableError("down")
 
     def _confirm_write(self, version):
+        """Return the version of a write, or raise an error if its answer is to be lost."""
         if self.lost_answers:
             self.lost_answers -= 1
             raise objects.OutcomeUnknownError("no answer")
@@ -58,7 +59,7 @@
         return self._confirm_write(self.engine.update(kind, name, value, version, now))
 
     async def probe(self, timeout_s):
-        """Raise an error if the store is down."""
+        """Raise UnavailableError if the store is down."""
         self._check_available()
 
     async def watch(self, kinds, since, wait_s):
--- a/tests/test_memory_store.py
+++ b/tests/test_memory_store.py
@@ -41,7 +41,7 @@
 
     @pytest.mark.parametrize("name, version", [("a", 7), ("gone", 1)])
     def test_stale_update_and_delete_conflict(self, name, version):
-        """A write with an old version or the name of no object fails without effect."""
+        """A write with another version, or to an object that does not exist, has no effect."""
         engine = memory_store.MemoryStore()
         engine.create("k", "a", 1, 0.0)
 
@@ -135,12 +135,12 @@
         assert engine.stats.refused == 1
 
     def test_refused_calls_count_as_without_effect(self):
-        """A call over the rate limit is an UnavailableError, which means without effect."""
+        """RateLimitedError is an UnavailableError, which callers treat as without effect."""
         assert issubclass(memory_store.RateLimitedError, objects.UnavailableError)
 
 
 class EngineMachine(stateful.RuleBasedStateMachine):
-    """Compares the engine with a dictionary, and its event history with its lists."""
+    """Compares the engine's objects and its replayed events with a dictionary."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -38,7 +38,7 @@
             (runs_of("a"), ONCE, attempt("a", 503), "says not-run, and ran"),
             (runs_of("a"), SAFE, attempt("a", 200, b"other"), "got the answer"),
             ([], SAFE, attempt("a", 200), "never ran"),
-            ([], SAFE, attempt("a", 404), "is proper"),
+            ([], SAFE, attempt("a", 404), "is valid and got 404"),
             (runs_of("b"), SAFE, attempt("a", 503), "no client sent it"),
         ],
     )
@@ -57,7 +57,7 @@
         ],
     )
     def test_allowed_attempt_is_no_violation(self, runs, plan, sent_attempt):
-        """Repeatable requests may run twice, and unknown outcomes and not-run are allowed."""
+        """A repeatable request may run twice, and a request may fail or be refused."""
         assert checks.find_violations(runs, [(plan, sent_attempt)]) == []
 
     def test_interrupted_attempts_are_found(self):
@@ -67,12 +67,12 @@
         assert len(checks.find_interrupted(runs_of("a0"), attempts)) == 3
 
     def test_request_sent_during_close_is_not_interrupted(self):
-        """An attempt that no server ran and that failed at once is no violation."""
-        crossed_close = platform_client.Attempt("a", 0, 0.1)
+        """An attempt that no server ran is no violation if it failed within CLOSE_RACE_S."""
+        lost_in_close = platform_client.Attempt("a", 0, 0.1)
         dropped = platform_client.Attempt("b", 0, 0.3)
-        assert checks.find_interrupted([], [(SAFE, crossed_close)]) == []
+        assert checks.find_interrupted([], [(SAFE, lost_in_close)]) == []
         assert len(checks.find_interrupted([], [(SAFE, dropped)])) == 1
-        assert len(checks.find_interrupted(runs_of("a"), [(SAFE, crossed_close)])) == 1
+        assert len(checks.find_interrupted(runs_of("a"), [(SAFE, lost_in_close)])) == 1
 
     def test_late_send_to_a_draining_server(self):
         """Requests are allowed within the limit, after the drain, and on other servers."""
