--- a/src/carobhook/coordination/dispatcher.py
+++ b/src/carobhook/coordination/dispatcher.py
@@ -15,16 +15,18 @@
 
 Decision = allocation.SlotGrant | allocation.SlotRefusal
 
-# A new request is refused if its expected wait exceeds this share of the time that its own work
-# leaves until its target. With a larger share, requests would miss their targets whenever the
-# estimated work times are too low, and no more requests would be served in time.
+# A new request that can still meet its target is refused if its expected wait exceeds this
+# share of the longest wait that it can afford: the time until its target, less a high work
+# time. With a larger share, requests would miss their targets whenever the estimated work times
+# are too low, and no more requests would be served in time.
 _MAX_QUEUE_SHARE = 0.45
 # Cost of a second of slot time, as a multiple of the cost of a second that the caller waits.
-# Slot time costs more while other requests queue for it: the second value is added in
-# proportion to the queue's length, and in full once the queue has as many requests as the pool
-# has slots.
+# Slot time costs more while other requests queue for it. `_QUEUE_SLOT_TIME_WEIGHT` is therefore
+# added in proportion to the queue's length, and in full once the queue has as many requests as
+# the pool has slots.
 _SLOT_TIME_WEIGHT = 0.3
 _QUEUE_SLOT_TIME_WEIGHT = 0.5
+# Limits of the time after which a refused caller is told to retry.
 _MIN_RETRY_AFTER_S = 0.2
 _MAX_RETRY_AFTER_S = 5.0
 # Work time assumed while there are no samples to estimate it from.
@@ -34,8 +36,8 @@
 # Traffic between failure domains is billed, so a caller waits up to this much longer for a
 # server in its own failure domain.
 _CROSS_DOMAIN_COST_S = 0.015
-# A request that may miss its target is queued only while the number of such requests in the
-# queue is below this share of the number of slots.
+# If no server is free, a new request that may miss its target is queued only while the number
+# of such requests in the queue is below this share of the number of slots, or is zero.
 _MAX_LATE_SHARE = 0.25
 
 
@@ -98,7 +100,10 @@
         return len(self._queue)
 
     def collect_demand(self) -> float:
-        """Return the slot-seconds requested since the last call, except by retries."""
+        """Return and reset the expected work, in slot-seconds, requested since the last call.
+
+        Retries are not included.
+        """
         demand, self._demand_s = self._demand_s, 0.0
         return demand
 
@@ -172,7 +177,7 @@
         return self.decide(now)
 
     def decide(self, now: float) -> list[Decision]:
-        """Return grants and refusals for the queued requests that can be decided now.
+        """Grant or refuse the queued requests that can be decided now; return the decisions.
 
         Args:
             now: Monotonic time in seconds.
@@ -185,7 +190,7 @@
                 queued.late = True
         self._queue.sort(key=lambda queued: queued.sort_key)
         self._reserved_s.clear()
-        # In queue order, so if any of these requests is in time, the first one is.
+        # Requests that stay queued, in queue order: if any can meet its target, the first can.
         remaining: list[_QueuedRequest] = []
         free = [
             server
@@ -321,8 +326,8 @@
         if best.wait_s <= 0:
             return best
         # The best server is busy. Wait for it if the response will still be in time; otherwise
-        # use a free server. While free servers are no more than the requests in the queue,
-        # other requests need them, so use only one that is likely to respond in time.
+        # use a free server. While there are no more free servers than queued requests, other
+        # requests need them, so use only one that is likely to respond in time.
         high_ratio = self._times.high_ratio(request.route)
         if now + best.wait_s + best.work_s * high_ratio <= request.target_at:
             self._reserve(best)
@@ -353,6 +358,7 @@
         work_s *= server.slowness(now)
         is_free = server.free_slots(now) > 0 and server.cold_rate_allows(now)
         reserved_s = self._reserved_s.get(server.name, 0.0) / max(1, server.slots)
+        # A wait of 0 means that the server can start the request now, so a busy one has more.
         wait_s = 0.0 if is_free else max(0.005, server.next_free_s(now)) + reserved_s
         queue_ratio = min(1.0, len(self._queue) / max(1, self.pool.slots))
         weight = _SLOT_TIME_WEIGHT + queue_ratio * _QUEUE_SLOT_TIME_WEIGHT
--- a/src/carobhook/coordination/retry_budget.py
+++ b/src/carobhook/coordination/retry_budget.py
@@ -1,12 +1,14 @@
-"""Limits how many requests for a service are sent to a server again."""
+"""Limits the retries of requests for one service."""
 
 import collections
 import math
 
 import attrs
 
+# Width in seconds of the intervals in which a sliding window counts events.
 _BUCKET_S = 0.5
-# Share of the slack that a new budget may use at once; the rest is added over a window.
+# Share of the slack that a new budget may use at once. The rest is added in the course of a
+# window; otherwise an instance that takes over could use the slack a second time.
 _INITIAL_SLACK_SHARE = 0.1
 
 
@@ -43,13 +45,13 @@
 
     Attributes:
         ratio: Retries allowed for each request.
-        slack: Retries allowed in a window in addition.
+        slack: Number of retries allowed in a window beyond those that `ratio` allows.
         window_s: Length of the window in seconds.
         started_at: Monotonic time in seconds at which this budget began to count. Another
             instance may have used its slack just before, so the slack of this one grows to its
             full size over a window.
         share: Share of the slack that this budget may use. It is below 1 while other instances
-            may have a budget for the same requests.
+            may have a budget for the same requests; otherwise each could use the whole slack.
     """
 
     ratio: float
@@ -78,10 +80,10 @@
         Args:
             now: Monotonic time in seconds.
         """
-        slack_share = min(
+        accrued_share = min(
             1.0, _INITIAL_SLACK_SHARE + max(0.0, now - self.started_at) / self.window_s
         )
-        slack = self.slack * self.share * slack_share
+        slack = self.slack * self.share * accrued_share
         allowed = self.ratio * self._requests.total(now) + slack
         if self._retries.total(now) + 1 > allowed:
             return False
--- a/src/carobhook/coordination/server_pool.py
+++ b/src/carobhook/coordination/server_pool.py
@@ -26,21 +26,23 @@
 _COLD_BURST = 2.0
 
 
-def cold_rate_limit(configured_per_s: float, max_per_s: float, visible: float) -> float:
+def cold_rate_limit(configured_per_s: float, max_per_s: float, visible_share: float) -> float:
     """Return the rate at which one dispatcher may send requests to a cold server.
 
     Load pattern: the instances are partitioned while a server is cold, and each partition runs
-    its own dispatcher. While a partition forms or heals, two dispatchers may overlap for a
-    moment, so each is limited to half of what the server may get at most, less a burst. In a
-    partition that lasts, the rate of each dispatcher is also multiplied by the fraction of
-    instances that are live in its partition.
+    its own dispatcher. While a partition forms or heals, two dispatchers may send requests to
+    the server for a moment. Each is therefore limited to half of `max_per_s` less a burst, so
+    that both together, with their bursts, send at most `max_per_s` requests within one second.
+    In a partition that lasts, the rate of each dispatcher is also multiplied by the fraction of
+    instances that are live in its partition. Before that factor, the rate is at least 1 a
+    second, even if `max_per_s` allows less.
 
     Args:
         configured_per_s: Requests a second that a cold server can handle.
         max_per_s: Most requests that it may get from all instances within one second.
-        visible: Fraction of the region's recently known instances that are live.
+        visible_share: Fraction of the region's recently known instances that are live.
     """
-    return max(1.0, min(configured_per_s, max_per_s / 2 - _COLD_BURST)) * visible
+    return max(1.0, min(configured_per_s, max_per_s / 2 - _COLD_BURST)) * visible_share
 
 
 @attrs.frozen
@@ -67,7 +69,8 @@
 
     Attributes:
         route: Its route.
-        depth: Depth of its object at the server when the slot was granted.
+        depth: Depth of its object at the server when the slot was granted, or None if the
+            object was not recorded there.
         started_at: Monotonic time in seconds of the grant.
         expected_s: Seconds that the server was expected to work.
         slowness: Slowness of the server at the grant, a factor that `expected_s` includes.
@@ -172,7 +175,14 @@
         return 1.0 + (self._slowness - 1.0) * decay
 
     def next_free_s(self, now: float) -> float:
-        """Return the expected seconds until the pause or a request ends; 0 if there is none."""
+        """Return the expected seconds until its pause ends or, if not paused, a request ends.
+
+        This is 0 if it is neither paused nor running a request. A request that runs longer than
+        expected is assumed to end in a moment.
+
+        Args:
+            now: Monotonic time in seconds.
+        """
         if now < self._paused_until:
             return self._paused_until - now
         ends = [run.started_at + run.expected_s - now for run in self.running.values()]
@@ -222,6 +232,7 @@
                 )
                 self._paused_until = now + pause_s
             if outcome is allocation.AttemptOutcome.UNREACHABLE:
+                # It may have stopped, and a restarted server has no objects in memory.
                 self.recent_objects.clear()
             return
         self._connection_failures = 0
--- a/src/carobhook/coordination/slot_loans.py
+++ b/src/carobhook/coordination/slot_loans.py
@@ -20,8 +20,8 @@
 # A loan stays as it is while it is within this many slots of its target. Otherwise small
 # changes of demand would move slots back and forth.
 _HYSTERESIS_SLOTS = 0.7
-# Recalled slots are not granted for this long. Within this time the borrower has received the
-# recall, and has reported which of the slots are still running requests.
+# The lender does not grant recalled slots for this long. Within this time the borrower has
+# received the recall, and has reported which of the slots are still running requests.
 _RECALL_S = 0.7
 
 
@@ -84,7 +84,7 @@
 
     Attributes:
         step: Largest change of the loan to one region per update, as a share of the borrower's
-            demand.
+            demand. A change of one slot is always allowed.
     """
 
     step: float
@@ -132,6 +132,7 @@
     one of the two requests queues inside the server, where it can't be refused or moved.
     """
 
+    # Monotonic time from which the slots may be granted again, their server, and their number.
     _pending: list[tuple[float, ids.Server, int]] = attrs.field(factory=list, init=False)
 
     @property
--- a/src/carobhook/coordination/smooth_round_robin.py
+++ b/src/carobhook/coordination/smooth_round_robin.py
@@ -12,6 +12,9 @@
 class SmoothRoundRobin(typing.Generic[_Item]):
     """Chooses among weighted items in turn, separately for each key.
 
+    Each choice adds to the credit of every item its weight, chooses the item with the most
+    credit, and subtracts the sum of the weights from that item's credit.
+
     Load pattern: shares are checked over a few hundred requests. Random choices would miss them
     by more than is allowed over so few requests, and would choose one item several times in a
     row.
--- a/src/carobhook/coordination/work_times.py
+++ b/src/carobhook/coordination/work_times.py
@@ -12,7 +12,8 @@
 # Class of objects that are not recorded for the server: it has not handled them, or so long ago
 # that they were removed.
 _UNKNOWN_DEPTH = len(_DEPTH_CLASS_ENDS)
-# Least weight of the latest sample in a moving mean.
+# Least weight of the latest sample in a moving mean. The n-th sample has a weight of 1/n while
+# that is larger, so that the first samples are averaged equally.
 _MEAN_WEIGHT = 0.1
 # Assumed work time for an object that the server handled recently, as a share of the time for
 # one that it did not.
@@ -88,10 +89,10 @@
     """Mean work times of each route, in seconds, by the depth of the object at the server.
 
     Load pattern: a server works three times as fast on an object that it handled recently, but
-    it doesn't report how many objects it keeps in memory. A separate mean for each class of
-    depth needs no such number: the means are higher from the depth on at which objects are no
-    longer in memory. A class of a known depth without samples uses the nearest one that has
-    some.
+    it doesn't report how many objects it keeps in memory. Each class of depths has its own
+    mean, so this number need not be known: the means rise at the depth beyond which objects are
+    no longer in memory. If the class of a known depth has no samples, the nearest class of
+    known depths that has some is used.
     """
 
     _means: dict[str, list[_MovingMean]] = attrs.field(factory=dict, init=False)
@@ -103,7 +104,8 @@
             route: Name of the route.
             depth: Depth of the object at the server, or None if it is not recorded there.
             default_s: Work time to assume for an object of unknown depth while there are no
-                samples.
+                samples. Before the route's first sample, a share of it is assumed for an object
+                of known depth.
         """
         means = self._means.get(route)
         if means is None:
