--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -88,7 +88,7 @@
         dispatcher_.register_running(make_request(1), ids.Server("a"), 0.0)
         assert dispatcher_.submit(make_request(2), 0.0) == []
 
-    def test_no_server_is_refused_at_once(self):
+    def test_request_without_usable_server_is_refused_at_once(self):
         """A request that no server may run is refused, not queued."""
         decisions = make_dispatcher().submit(make_request(1), 0.0)
         assert [d.code for d in decisions] == [codes.Code.NO_BACKEND]
@@ -100,10 +100,10 @@
         assert [d.code for d in decisions] == [codes.Code.NO_BACKEND]
 
 
-class TestRefusing:
-    """Requests that cannot meet their target are refused early."""
+class TestAdmission:
+    """Early refusal of requests that cannot meet their target, and the order of grants."""
 
-    def test_long_queue_refuses_on_arrival(self):
+    def test_request_is_refused_on_arrival_if_wait_exceeds_target(self):
         """A request is refused on arrival if its expected wait exceeds its target."""
         dispatcher_ = make_dispatcher(offer("a", slots=1))
         decisions = []
@@ -145,7 +145,7 @@
         )
         assert granted_ids(decisions) == ["r3"]
 
-    def test_repeats_are_bounded(self):
+    def test_retry_is_refused_once_retry_budget_is_used_up(self):
         """Once the retry budget is used up, retries are refused with a code of their own."""
         dispatcher_ = make_dispatcher(offer("a", slots=9), ratio=0.1, slack=1.0)
         dispatcher_.submit(make_request(1), 0.0)
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -238,7 +238,7 @@
             backend.behaviour = platform_server.Behaviour(**fields)
 
 
-class TestAnswers(EntryCase):
+class TestResponses(EntryCase):
     """Responses to clients."""
 
     async def test_response_is_forwarded_unchanged(self):
@@ -525,7 +525,7 @@
         assert (await self.request()).status == 200
 
 
-class TestOwnInterface(EntryCase):
+class TestClientApi(EntryCase):
     """Calls of the client API, which name the service."""
 
     async def test_request_and_lookup(self):
@@ -542,7 +542,7 @@
         http = self.instance_ports["one"]["http"]
         assert json.loads(found.body)["addresses"] == [f"127.0.0.1:{http}"]
 
-    async def test_faults_have_codes(self):
+    async def test_unknown_service_and_invalid_header_have_codes(self):
         """An unknown service and an invalid number in a header have different codes."""
         responses = [
             await self.request("/v1/services/nowhere/item"),
--- a/tests/test_global_limits.py
+++ b/tests/test_global_limits.py
@@ -7,7 +7,7 @@
 import attrs
 import pytest
 
-import test_slot_desk as slot_tests
+import test_slot_allocator as slot_tests
 from carobhook.state import allocation, ids, routing
 from carobhook.transport import shard_dispatchers
 
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -27,7 +27,7 @@
 class TestQuarantine:
     """Marks, and the requests that they quarantine."""
 
-    def test_enough_marks_refuse_until_they_expire(self):
+    def test_three_marks_quarantine_until_they_expire(self):
         """Three marks quarantine a request; a mark that is added twice counts once."""
         quarantine = poison.Quarantine("i1")
         first = quarantine.record_failure(FINGERPRINT, "m1", 0.0)
--- a/tests/test_request_flow.py
+++ b/tests/test_request_flow.py
@@ -132,10 +132,10 @@
         return (self.responses[0].status if self.responses else 0), code
 
 
-class TestWaiting:
+class TestWaitingForSlot:
     """Requests that wait for a slot."""
 
-    def test_deadline_while_it_waits(self):
+    def test_deadline_passes_while_waiting_for_slot(self):
         """The request has not run, so the response tells the client that it may retry."""
         case = FlowCase()
         case.clock.advance(1.0)
@@ -144,7 +144,7 @@
         assert case.responses[0].get("retry-after") is not None
         assert case.finished
 
-    def test_client_that_leaves_while_it_waits(self):
+    def test_client_disconnects_while_waiting_for_slot(self):
         """The request is not sent to a server, and no response is written."""
         case = FlowCase()
         case.flow.client_disconnected()
@@ -175,8 +175,8 @@
         assert case.result == (503, codes.Code.DEADLINE_UNMEETABLE)
 
 
-class TestEnds:
-    """Ends of requests that were sent to a server."""
+class TestSentRequests:
+    """Outcomes of requests that were sent to a server."""
 
     def test_timeout_of_work_that_runs_once(self, caplog):
         """The client gets a 504 at the timeout; the late response only gets a log line."""
@@ -218,7 +218,7 @@
         assert case.result == (0, codes.Code.CALLER_GONE)
         assert case.finished
 
-    def test_broken_connection(self):
+    def test_broken_connection_leaves_run_status_unknown(self):
         """A request that must not run twice is not retried; its run status is unknown."""
         case = FlowCase(ONCE)
         case.allocator.grant()
@@ -226,7 +226,7 @@
         assert case.result == (502, codes.Code.BACKEND_LOST)
         assert case.responses[0].get("carobhook-run") == "unknown"
 
-    def test_shed_by_every_server(self):
+    def test_request_shed_by_every_server_is_refused_as_not_run(self):
         """A request whose attempts were all shed is refused as not run."""
         case = FlowCase(ONCE)
         for server in ("s1", "s2"):
--- a/tests/test_intake.py
+++ b/tests/test_request_routing.py
@@ -33,7 +33,7 @@
     return request_routing.RequestRouter(region, steering.Steering({}))
 
 
-class TestPlace:
+class TestRouteRequest:
     """Route, region and deadlines of a request."""
 
     def test_longest_prefix_wins(self):
@@ -43,7 +43,7 @@
         assert router.route_request(routes, "shop.example", "/a/b/c", 1.0, 0.0).route is DEEPER
         assert router.route_request(routes, "Shop.Example:80", "/a/bc", 1.0, 0.0).route is ROUTE
 
-    def test_unknown_path_is_404_and_no_configuration_503(self):
+    def test_unknown_path_gets_404_and_missing_config_gets_503(self):
         """An unknown path gets 404; without a configuration, 503 says that nothing was run."""
         router = make_router()
         unknown = router.route_request(config(ROUTE), "shop.example", "/b/", 1.0, 0.0)
--- a/tests/test_slot_desk.py
+++ b/tests/test_slot_allocator.py
@@ -126,7 +126,7 @@
         return True
 
 
-class TestAsks:
+class TestSlotRequests:
     """Requests of several instances to one dispatcher."""
 
     def test_all_instances_share_the_slots(self):
