--- a/src/carobhook/checks.py
+++ b/src/carobhook/checks.py
@@ -34,7 +34,7 @@
     Attributes:
         expected: Description of the accepted values, which follows "expected" in messages.
         accepts: Predicate for valid values; it is called with values of any type.
-        choices: Allowed values, if the check is for one of a few words.
+        choices: The accepted words, if only certain words are accepted; otherwise empty.
         item_check: Check of each value, if the field is a table of names to values.
     """
 
@@ -119,6 +119,7 @@
 
 
 def _is_port(text: str) -> bool:
+    # int() raises ValueError for a text of several thousand digits.
     return text.isascii() and text.isdigit() and 0 < int(text[:6]) <= _MAX_PORT
 
 
--- a/src/carobhook/demo.py
+++ b/src/carobhook/demo.py
@@ -1,4 +1,4 @@
-"""Generates a deployment on loopback: settings, an operator's token and processes."""
+"""Generates the files of a deployment on loopback and the commands of its processes."""
 
 import hashlib
 import json
@@ -75,7 +75,7 @@
 
 @attrs.frozen
 class Ports:
-    """First port of each kind; the ports of instances and servers are numbered from it."""
+    """First port of each kind; further instances and servers use the ports that follow it."""
 
     http: int = 18000
     peers: int = 18100
@@ -95,7 +95,7 @@
 
 @attrs.frozen
 class Process:
-    """Name of one process of the deployment and its arguments for ``carobhook``."""
+    """One process of the deployment: its name and the arguments of ``carobhook``."""
 
     name: str
     arguments: tuple[str, ...]
@@ -184,6 +184,7 @@
             for key in ("http", "readiness", "directory", "peers", "metrics", "operators")
         }
         place = {"name": name, "region": REGIONS[domain], "failure_domain": domain}
+        # The first two instances are the seeds of all others and of each other.
         seeds = [f"{HOST}:{self.ports.peers + other}" for other in range(2) if other != index]
         sections: Mapping[str, Mapping[str, object]] = {
             "place": {**place, **addresses, "seeds": seeds},
@@ -338,6 +339,7 @@
 
 
 def _write_private(path: pathlib.Path, text: str) -> None:
+    """Write a file that only its owner may read, also while it is being written."""
     path.touch(mode=_PRIVATE_MODE)
     path.chmod(_PRIVATE_MODE)
     path.write_text(text, "utf-8")
--- a/src/carobhook/entry.py
+++ b/src/carobhook/entry.py
@@ -1,7 +1,7 @@
 """Entry point of one entry instance: ``python3 -m carobhook.entry``.
 
 Imports only what a running instance needs, because every import costs each instance memory and
-start-up time. `carobhook serve` runs the same code behind the command line.
+start-up time. `carobhook serve` calls `run` too, but imports the command line as well.
 """
 
 import os
@@ -19,7 +19,7 @@
 SETTINGS_VARIABLE = "CAROBHOOK_SETTINGS"
 SETTINGS_INTERVAL_S = 2.0
 OUTPUT_INTERVAL_S = 1.0
-# Same values as the exit codes of the command line, which is not imported here.
+# Same values as the exit codes of the command line, whose import would cost memory.
 EXIT_USAGE = 2
 EXIT_ADDRESS_IN_USE = 5
 EXIT_FAILED = 6
@@ -30,16 +30,18 @@
 
     Args:
         path: The settings file, which is read again when it changes.
-        loaded: Settings that the file holds now.
+        instance_settings: Settings that were read from the file.
     """
 
-    def __init__(self, path: pathlib.Path, loaded: entry_settings.EntrySettings) -> None:
+    def __init__(
+        self, path: pathlib.Path, instance_settings: entry_settings.EntrySettings
+    ) -> None:
         self._budget = log_output.LineBudget()
         self._handler = log_output.LineHandler(sys.stdout.fileno(), self._budget)
-        logs.setup_handler(loaded.log, self._handler, loaded.place.name)
+        logs.setup_handler(instance_settings.log, self._handler, instance_settings.place.name)
         logs.forward_twisted_logs()
         self._daemon = entry_daemon.EntryDaemon(
-            loaded, reactor, omitted=lambda: self._budget.omitted_total
+            instance_settings, reactor, omitted=lambda: self._budget.omitted_total
         )
         self._watch = settings_watch.SettingsWatch(path, self._daemon.reload)
         self.exit_code = 0
@@ -64,6 +66,7 @@
         return defer.ensureDeferred(self._daemon.stop()).addErrback(self._handle_stop_failure)
 
     def _handle_sighup(self, number: int, frame: object) -> None:
+        # The signal may interrupt any code of this thread, so the check is only scheduled here.
         reactor.callFromThread(self._watch.check, True)
 
     def _flush_output(self) -> None:
@@ -87,18 +90,18 @@
         logs.error("unhandled-error", trace=reason.getTraceback())
 
 
-def run(path: pathlib.Path, loaded: entry_settings.EntrySettings) -> None:
+def run(path: pathlib.Path, instance_settings: entry_settings.EntrySettings) -> None:
     """Run an instance until the process receives a signal to stop.
 
     Args:
-        path: Its settings file.
-        loaded: Settings that the file holds.
+        path: Its settings file, which is read again when it changes.
+        instance_settings: Settings that were read from the file.
 
     Raises:
         SystemExit: The instance could not start.
     """
     try:
-        runner = _Runner(path, loaded)
+        runner = _Runner(path, instance_settings)
     except settings.TlsFilesError as tls_error:
         sys.stderr.write(f"{path}: {tls_error}\n")
         sys.exit(EXIT_USAGE)
@@ -120,12 +123,12 @@
     """Run the instance that the settings file describes until a signal stops it."""
     path = pathlib.Path(os.environ[SETTINGS_VARIABLE])
     try:
-        loaded = entry_settings.load(path)
+        instance_settings = entry_settings.load(path)
     except settings.SettingsError as errors:
         for setting_error in errors.exceptions:
             sys.stderr.write(f"{path}: {setting_error}\n")
         sys.exit(EXIT_USAGE)
-    run(path, loaded)
+    run(path, instance_settings)
 
 
 if __name__ == "__main__":
--- a/src/carobhook/entry_settings.py
+++ b/src/carobhook/entry_settings.py
@@ -223,7 +223,7 @@
         content = tables.parse(text, settings.InvalidSettingError)
     except settings.InvalidSettingError as error:
         raise settings.SettingsError(source, [error]) from error
-    reader = tables.Reader(tables.Lines.scan(text), settings.InvalidSettingError)
+    reader = tables.Reader(tables.LineNumbers.scan(text), settings.InvalidSettingError)
     reader.report_unknown_tables(content, (*TABLES, _REGIONS))
     values = {
         name: reader.read(kind, name, content.get(name, {})) for name, kind in TABLES.items()
--- a/src/carobhook/events.py
+++ b/src/carobhook/events.py
@@ -19,7 +19,7 @@
 
 
 class Event(enum.Enum):
-    """All events."""
+    """Every event that carobhook logs."""
 
     INSTANCE_STARTED = EventInfo("instance-started", "The daemon listens on all its ports.")
     INSTANCE_LEAVING = EventInfo("instance-leaving", "A graceful stop has begun.")
--- a/src/carobhook/log_output.py
+++ b/src/carobhook/log_output.py
@@ -13,20 +13,22 @@
 # Sustained rate of lines, and how many may be written at once after an idle period.
 LINES_PER_S = 150.0
 _BURST_LINES = 600.0
-# By importance: a line is written only while more than this fraction of the burst is left, so
-# that a flood of unimportant lines cannot use up the budget of the important ones.
+# Fraction of the burst that is reserved for more important lines, indexed by importance.
+# Without it, a flood of unimportant lines would use up the budget of the important ones.
 _RESERVED_FRACTIONS = (0.0, 0.15, 0.4)
+# Without a limit, the buffer would grow for as long as the log reader is stuck.
 _MAX_PENDING_BYTES = 512 * 1024
 # Number of `codes.Code.OK`.
 _SUCCESS_CODE = 1000
 
 
 class Importance(enum.IntEnum):
-    """Importance of a line, which decides what is dropped first under load.
+    """Importance of a line; the least important lines are omitted first.
 
-    HIGH: Errors, and lines about the state of the instance instead of one request.
-    NORMAL: Requests that failed or were retried.
-    LOW: Requests that succeeded at the first attempt.
+    Attributes:
+        HIGH: Errors, and all lines that are not about a single request.
+        NORMAL: All other lines about a request, such as its failure or a retry.
+        LOW: Requests that succeeded at the first attempt.
     """
 
     HIGH = 0
@@ -46,7 +48,7 @@
 
 @attrs.define
 class LineBudget:
-    """Limits the rate of log lines, and drops the least important ones first.
+    """Limits the rate of log lines and omits the least important ones first.
 
     Without a limit, a flood of requests, or a failure that affects all of them at once, would
     write more lines than the machine and the log reader can handle.
@@ -55,18 +57,18 @@
     _bucket: token_bucket.TokenBucket = attrs.field(
         factory=lambda: token_bucket.TokenBucket(LINES_PER_S, _BURST_LINES), init=False
     )
-    _omitted: collections.Counter[Importance] = attrs.field(
+    _omitted_counts: collections.Counter[Importance] = attrs.field(
         factory=collections.Counter, init=False
     )
     _omitted_total: int = attrs.field(default=0, init=False)
 
     @property
     def omitted_total(self) -> int:
-        """Return the number of lines dropped since the start."""
+        """Return the number of lines omitted since the start."""
         return self._omitted_total
 
     def try_consume(self, importance: Importance, now: float) -> bool:
-        """Return whether a line may be written; a line that may not is counted as dropped.
+        """Return whether a line may be written; a line that may not is counted as omitted.
 
         Args:
             importance: Importance of the line.
@@ -79,20 +81,21 @@
         return False
 
     def record_omitted(self, importance: Importance) -> None:
-        """Record a dropped line."""
-        self._omitted[importance] += 1
+        """Record that a line was omitted."""
+        self._omitted_counts[importance] += 1
         self._omitted_total += 1
 
     def collect_omitted(self) -> dict[str, int]:
-        """Return the number of lines dropped since the last call, by importance."""
-        omitted, self._omitted = self._omitted, collections.Counter()
+        """Return the number of lines omitted since the last call, by importance."""
+        omitted, self._omitted_counts = self._omitted_counts, collections.Counter()
         return {importance.name.lower(): count for importance, count in omitted.items()}
 
 
 class LineHandler(logging.Handler):
     """Writes lines to a file descriptor, which it switches to non-blocking mode.
 
-    Lines that the reader has not yet accepted are buffered up to a fixed size.
+    Lines that the descriptor does not accept yet are buffered up to a fixed size; further lines
+    are omitted.
 
     Args:
         descriptor: The file descriptor.
@@ -108,7 +111,7 @@
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a line, or drop it if the budget is used up or the buffer is full."""
+        """Write a line, or omit it if the budget is used up or the buffer is full."""
         importance = importance_of(record)
         if not self._budget.try_consume(importance, time.monotonic()):
             return
--- a/src/carobhook/logs.py
+++ b/src/carobhook/logs.py
@@ -42,8 +42,8 @@
 def _log(level: int, name: str | events.Event, fields: dict[str, object]) -> None:
     if not _logger.isEnabledFor(level):
         return
-    text = name.value.name if isinstance(name, events.Event) else name
-    _logger.log(level, "%s", text, extra={"event": text, "fields": fields})
+    event_name = name.value.name if isinstance(name, events.Event) else name
+    _logger.log(level, "%s", event_name, extra={"event": event_name, "fields": fields})
 
 
 def setup(
@@ -83,7 +83,7 @@
 
 
 def forward_twisted_logs() -> None:
-    """Log the failures and warnings of twisted as events; call this once in a process."""
+    """Log the warnings and errors of twisted's logger as events; call once in a process."""
     twisted_logger.globalLogBeginner.beginLoggingTo(
         [forward_twisted_event], discardBuffer=True, redirectStandardIO=False
     )
@@ -95,10 +95,14 @@
 
 
 @interface.implementer(twisted_logger.ILogObserver)
-def forward_twisted_event(entry: twisted_logger.LogEvent) -> None:
-    """Log a failure of twisted as an error and a warning as a warning; ignore the rest."""
-    level = entry.get("log_level")
-    failure = entry.get("log_failure")
+def forward_twisted_event(twisted_event: twisted_logger.LogEvent) -> None:
+    """Log an event of twisted's logger, unless it is below the warning level.
+
+    An event with a failure, such as an unhandled error of a deferred, is logged as an error at
+    any level, other events as warnings.
+    """
+    level = twisted_event.get("log_level")
+    failure = twisted_event.get("log_failure")
     if failure is not None:
         error(
             events.Event.UNHANDLED_ERROR,
@@ -107,13 +111,14 @@
             trace=failure.getTraceback(),
         )
     elif level is not None and level >= twisted_logger.LogLevel.warn:
-        warning(events.Event.LIBRARY, text=twisted_logger.formatEvent(entry))
+        warning(events.Event.LIBRARY, text=twisted_logger.formatEvent(twisted_event))
 
 
-def _fields(record: logging.LogRecord, instance: str) -> dict[str, Any]:
-    """Return all fields of a line; the message of another library is the field ``text``.
+def _line_fields(record: logging.LogRecord, instance: str) -> dict[str, Any]:
+    """Return all fields of a line; the message of a library's record is the field ``text``.
 
-    A field of an event whose name is taken gets the prefix ``field_``, unless the values are
+    A field of an event that has the name of a common field, such as ``level``, gets the prefix
+    ``field_`` so that it does not replace the common one. It is left out if the values are
     equal.
     """
     fields: dict[str, Any] = {
@@ -150,7 +155,7 @@
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the line."""
-        pairs = _fields(record, self._instance).items()
+        pairs = _line_fields(record, self._instance).items()
         return " ".join(f"{_format_key(key)}={_format_value(value)}" for key, value in pairs)
 
 
@@ -164,7 +169,8 @@
     def format(self, record: logging.LogRecord) -> str:
         """Return the line."""
         fields = {
-            key: _json_value(value) for key, value in _fields(record, self._instance).items()
+            key: _json_value(value)
+            for key, value in _line_fields(record, self._instance).items()
         }
         return self.jsonify_log_record(fields)
 
@@ -186,12 +192,12 @@
 
 def _format_value(value: object) -> str:
     """Return the text of a value, quoted as in JSON if it has spaces or special characters."""
-    simple = _json_value(value)
-    if isinstance(simple, bool) or simple is None:
-        return json.dumps(simple)
-    if isinstance(simple, float):
-        return f"{simple:.6g}"
-    if isinstance(simple, list):
-        simple = ",".join(str(item) for item in simple)
-    text = str(simple)
+    json_value = _json_value(value)
+    if isinstance(json_value, bool) or json_value is None:
+        return json.dumps(json_value)
+    if isinstance(json_value, float):
+        return f"{json_value:.6g}"
+    if isinstance(json_value, list):
+        json_value = ",".join(str(item) for item in json_value)
+    text = str(json_value)
     return text if _UNQUOTED.fullmatch(text) else json.dumps(text, ensure_ascii=True)
--- a/src/carobhook/reference.py
+++ b/src/carobhook/reference.py
@@ -116,10 +116,10 @@
 
 
 def _setting_row(field: Any) -> tuple[str, str, str, str]:
-    return field.name, field.validator.expected, _default(field), field.metadata["doc"]
+    return field.name, field.validator.expected, _format_default(field), field.metadata["doc"]
 
 
-def _default(field: Any) -> str:
+def _format_default(field: Any) -> str:
     if field.default is attrs.NOTHING:
         return "none: must be set"
     if isinstance(field.default, enum.Enum):
@@ -131,11 +131,11 @@
 
 def _table(header: Sequence[str], rows: Iterable[Sequence[str]]) -> list[str]:
     """Return the lines of a Markdown table."""
-    lines = [_row(header), _row(["---"] * len(header))]
-    return lines + [_row(row) for row in rows]
+    lines = [_format_row(header), _format_row(["---"] * len(header))]
+    return lines + [_format_row(row) for row in rows]
 
 
-def _row(cells: Sequence[str]) -> str:
+def _format_row(cells: Sequence[str]) -> str:
     return "| " + " | ".join(cell.replace("|", "\\|") for cell in cells) + " |"
 
 
--- a/src/carobhook/request_trace.py
+++ b/src/carobhook/request_trace.py
@@ -1,4 +1,4 @@
-"""Determines the outcome of a request from the log lines of many instances."""
+"""Explains the outcomes of requests from the log lines of any number of instances."""
 
 import json
 from collections.abc import Iterable, Mapping
@@ -20,7 +20,7 @@
     """One log line about a request.
 
     Attributes:
-        time: Wall-clock time of the instance, as in the line.
+        time: Time of the line by the wall clock of the instance, in the form of the logs.
         instance: Instance that wrote the line.
         event: Name of the event.
         fields: Fields of the event, without those that all lines have.
@@ -42,7 +42,7 @@
     """All log lines of one request, sorted by time.
 
     Attributes:
-        request: Id that the client gave to its attempt.
+        request: Id of the request, as in the lines.
         lines: The sorted lines.
     """
 
@@ -59,7 +59,7 @@
 
     @property
     def failed(self) -> bool:
-        """Return whether the request failed: its code is not OK, or a status is 500 or more.
+        """Return whether the request failed: its code is not OK, or any status is 500 or more.
 
         A request whose result code is unknown does not count as failed.
         """
--- a/src/carobhook/tables.py
+++ b/src/carobhook/tables.py
@@ -13,6 +13,7 @@
 _TABLE_LINE = re.compile(r"\s*\[+\s*([^\]]+?)\s*\]+")
 _KEY_LINE = re.compile(r"""\s*["']?([A-Za-z0-9_.-]+)["']?\s*=""")
 _ERROR_LINE = re.compile(r"at line (\d+)")
+# Error messages leave out the values of these keys; otherwise secrets would be printed.
 _SECRET_KEYS = frozenset({"peer_key"})
 
 
@@ -73,13 +74,13 @@
 
 
 @attrs.frozen
-class Lines:
+class LineNumbers:
     """Line numbers of the tables and keys of a TOML text."""
 
     _numbers: Mapping[tuple[str, str], int]
 
     @classmethod
-    def scan(cls, text: str) -> "Lines":
+    def scan(cls, text: str) -> "LineNumbers":
         """Return the line numbers that a line-by-line scan of a text finds.
 
         Spellings that the patterns do not match, such as quoted keys with spaces or keys of
@@ -121,15 +122,15 @@
 
 
 class Reader:
-    """Builds attrs values from tables and collects the errors found meanwhile.
+    """Builds attrs values from tables and collects the errors of all of them.
 
     Args:
-        lines: Line numbers of the tables and keys.
+        line_numbers: Line numbers of the tables and keys.
         error_type: Class of the collected errors.
     """
 
-    def __init__(self, lines: Lines, error_type: type[TableError]) -> None:
-        self._lines = lines
+    def __init__(self, line_numbers: LineNumbers, error_type: type[TableError]) -> None:
+        self._line_numbers = line_numbers
         self._error_type = error_type
         self._errors: list[TableError] = []
 
@@ -163,7 +164,7 @@
         self, table: str, key: str, value: object, expected: str, suggestion: str | None = None
     ) -> None:
         """Record one error."""
-        line = self._lines.find(table, key)
+        line = self._line_numbers.find(table, key)
         self._errors.append(
             self._error_type(table, key, value, expected, line=line, suggestion=suggestion)
         )
@@ -200,7 +201,7 @@
 
 
 def _invalid_values(field: Any, value: Any) -> Iterator[tuple[tuple[str, ...], Any, str]]:
-    """Yield the path, value and expectation of each invalid part of one field's value."""
+    """Yield path, value and expected values of each invalid part of one field's value."""
     check = field.validator
     if check.item_check is None or not isinstance(value, dict):
         if not check.accepts(value):
--- a/tests/test_events.py
+++ b/tests/test_events.py
@@ -7,7 +7,7 @@
 from carobhook import events
 
 _SOURCE = pathlib.Path(carobhook.__file__).parent
-_CALLS = {"event", "warning", "error"}
+_LOG_CALLS = {"event", "warning", "error"}
 
 
 def logged_names(path):
@@ -16,7 +16,7 @@
         if (
             isinstance(node, ast.Call)
             and isinstance(node.func, ast.Attribute)
-            and node.func.attr in _CALLS
+            and node.func.attr in _LOG_CALLS
             and isinstance(node.func.value, ast.Name)
             and node.func.value.id == "logs"
             and isinstance(node.args[0], ast.Constant)
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -16,23 +16,23 @@
 
 
 class TestImportance:
-    """Order in which lines are dropped when not all can be written."""
+    """Importance of lines, which decides what is omitted first."""
 
-    def test_successes_rank_below_failures_and_state_changes(self):
-        """A success is least important, a line that is about no request most important."""
+    def test_successes_are_less_important_than_failures_and_state_changes(self):
+        """A success is least important; a line about no request is most important."""
         success = record(request="1", code=1000, sends=1)
         refused = record(request="1", code=1012, sends=0)
         state_change = record(server="i-1")
-        order = [log_output.importance_of(one) for one in (state_change, refused, success)]
+        order = [log_output.importance_of(entry) for entry in (state_change, refused, success)]
         assert order == sorted(order)
         assert len(set(order)) == 3
 
 
 class TestLineBudget:
-    """Lines that are dropped under load."""
+    """Lines that are omitted under load."""
 
     def test_flood_of_requests_does_not_displace_state_changes(self):
-        """At 5,000 lines a second, successes are dropped and counted, state changes written."""
+        """At 5,000 lines a second, successes are omitted and counted, state changes written."""
         budget = log_output.LineBudget()
         written = dict.fromkeys(log_output.Importance, 0)
         for number in range(10_000):
@@ -64,7 +64,7 @@
                 continue
 
     def test_stuck_reader_never_blocks(self, pipe):
-        """Lines are buffered up to a limit; further ones are dropped and counted."""
+        """Lines are buffered up to a limit; further ones are omitted and counted."""
         budget = log_output.LineBudget()
         handler = log_output.LineHandler(pipe[1], budget)
         for _ in range(500):
@@ -88,7 +88,7 @@
         assert [int(line[:5]) for line in lines] == list(range(300))
 
     def test_closed_reader_raises_no_error(self, pipe):
-        """Lines are dropped when the reader has closed its end."""
+        """Lines are discarded when the reader has closed its end."""
         handler = log_output.LineHandler(pipe[1], log_output.LineBudget())
         os.close(pipe[0])
         handler.emit(record(server="i-1"))
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -15,11 +15,11 @@
 @pytest.fixture
 def root_handlers():
     """Restore the handlers and levels that a test changes."""
-    root, own = logging.getLogger(), logging.getLogger("carobhook")
-    before = list(root.handlers), root.level, own.level
+    root, carobhook_logger = logging.getLogger(), logging.getLogger("carobhook")
+    before = list(root.handlers), root.level, carobhook_logger.level
     yield
     root.handlers[:], root.level = before[0], before[1]
-    own.setLevel(before[2])
+    carobhook_logger.setLevel(before[2])
 
 
 def setup_stream(form="keyvalue", level="info", instance="addis-1"):
@@ -68,8 +68,8 @@
         assert stream.getvalue().endswith(f" text={shown}\n")
         assert stream.getvalue().count("\n") == 1
 
-    def test_field_never_replaces_time_or_event(self):
-        """A field whose name is taken gets a prefix, unless the values are equal."""
+    def test_field_never_replaces_a_common_field(self):
+        """A field named like a common one gets a prefix, unless the values are equal."""
         stream = setup_stream()
 
         logs.event("order", level="high", instance="addis-1")
--- a/tests/test_outer_interface.py
+++ b/tests/test_outer_interface.py
@@ -1,8 +1,8 @@
-"""Tests that names and formats which leave the process are what they were.
+"""Tests that names and formats which are visible outside the process have not changed.
 
 Running instances, stored orders, settings files, dashboards and scripts depend on them. The
-expected values stand in outer_interface.json. A change there breaks one of these users, and a
-rolling update with it, unless it only adds.
+expected values are in outer_interface.json. Changing or removing one of them breaks whatever
+depends on it, and a rolling update too; adding one does not.
 """
 
 import ast
@@ -28,7 +28,7 @@
 
 
 def commands(command, path=()):
-    """Yield the path, help and options of a command and of those below it."""
+    """Yield the path, help and options of a command and of its subcommands."""
     options = {
         parameter.name: [sorted(parameter.opts), getattr(parameter, "help", None)]
         for parameter in command.params
@@ -39,7 +39,7 @@
 
 
 def logged_fields():
-    """Return the field names that calls give to each event, and the events' names."""
+    """Return the field names that calls pass with each event, by event name."""
     found = {}
     for path in _SOURCE.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text("utf-8"))):
@@ -52,7 +52,7 @@
             ):
                 name = node.args[0]
                 text = name.value if isinstance(name, ast.Constant) else ast.unparse(name)
-                fields = {word.arg or "**" for word in node.keywords}
+                fields = {keyword.arg or "**" for keyword in node.keywords}
                 found.setdefault(text, set()).update(fields)
     return {name: sorted(fields) for name, fields in found.items()}
 
@@ -62,7 +62,7 @@
 
     @pytest.mark.parametrize("tag", sorted(_EXPECTED["frames"]))
     def test_golden_frame_survives_a_round_trip(self, tag):
-        """A frame of an older build is read, and written again octet for octet."""
+        """A frame of an older build is decoded, and encoded again to the same octets."""
         octets = bytes.fromhex(_EXPECTED["frames"][tag])
         frame = msgpack.unpackb(octets, use_list=True)
         assert frame[0] == tag
@@ -72,8 +72,8 @@
 class TestStoredOrders:
     """The object of the store that holds all orders."""
 
-    def test_stored_orders_are_read_and_written_alike(self):
-        """Orders of an older build come back with the same keys and values."""
+    def test_stored_orders_survive_a_round_trip(self):
+        """Orders of an older build are encoded again with the same keys and values."""
         stored = _EXPECTED["orders"]
         assert order_codec.encode(order_codec.decode(stored)) == stored
 
@@ -82,7 +82,7 @@
     """Keys of settings files."""
 
     def test_tables_and_keys(self):
-        """Every table has the keys that it had."""
+        """The tables and their keys are the expected ones, in the same order."""
         tables = {
             name: [field.name for field in attrs.fields(kind)]
             for name, kind in entry_settings.TABLES.items()
@@ -104,11 +104,11 @@
     """Events and their fields in log lines."""
 
     def test_event_names(self):
-        """Every event has its name."""
+        """The names of all events are the expected ones, in the same order."""
         assert [event.value.name for event in events.Event] == _EXPECTED["events"]
 
     def test_field_names(self):
-        """Calls give each event the fields that they gave it."""
+        """The fields that calls pass with each event are the expected ones."""
         assert logged_fields() == _EXPECTED["log_fields"]
 
 
@@ -130,7 +130,7 @@
     """Commands, flags and help texts, and the objects that ``--json`` prints."""
 
     def test_commands_flags_and_help(self):
-        """Every command has its flags and texts."""
+        """The flags and help texts of all commands are the expected ones."""
         root = typer.main.get_command(cli.app)
         found = json.loads(json.dumps(dict(commands(root))))
         assert found == _EXPECTED["commands"]
--- a/tests/test_request_trace.py
+++ b/tests/test_request_trace.py
@@ -27,7 +27,7 @@
 SERVED = line("r2", code=1000, status=200, total_ms=20.0, sends=1, server="i-2")
 
 
-class TestRead:
+class TestCollectTraces:
     """Reading log lines of several instances."""
 
     def test_lines_are_sorted_by_time(self):
@@ -63,7 +63,7 @@
         assert not trace.failed
         assert "i-2" in trace.cause
 
-    def test_every_code_of_a_request_has_a_sentence(self):
+    def test_every_code_has_a_cause(self):
         """Every result code has a cause of more than a few words."""
         for code in codes.Code:
             trace = request_trace.collect_traces([line(code=code.number, status=503)])["r1"]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -108,7 +108,7 @@
         """A duration is a number without a sign, directly followed by its unit."""
         assert ("bounds", "grace") in errors_in(_MINIMAL.replace('"6s"', value))
 
-    def test_domain_without_a_region_is_an_error(self):
+    def test_region_that_is_not_a_string_is_an_error(self):
         """The region of a failure domain must be a string."""
         assert ("regions", "addis-a") in errors_in(
             _MINIMAL.replace('addis-a = "addis"', "addis-a = 3")
